--- a/crates/leadership/src/cancellation.rs
+++ b/crates/leadership/src/cancellation.rs
@@ -7,8 +7,8 @@
 
 use crowstall_model::time::Span;
 
-/// Allowance for workers that notice the expiry of their lease late, for late clock readings and for rounding.
-const EXPIRY_ALLOWANCE: Span = Span::millis(2000);
+/// Safety margin for workers that notice the expiry of their lease late, for late clock readings and for rounding.
+const EXPIRY_MARGIN: Span = Span::millis(2000);
 
 /// The platform's settings for cancellations.
 #[derive(Clone, Copy, Debug)]
@@ -42,7 +42,7 @@
     ///
     /// It is as long as possible if another node records the cancellation just when the leader lease ends.
     pub fn grace(&self) -> Span {
-        (self.within - self.worker_lease.stretched() - EXPIRY_ALLOWANCE).shrunk()
+        (self.within - self.worker_lease.stretched() - EXPIRY_MARGIN).shrunk()
     }
 
     /// Returns the latest time at which a task can still be on a machine: the last worker lease is renewed, expires,
@@ -52,7 +52,7 @@
             LeaseSource::Leader => Span::ZERO,
             LeaseSource::FormerLeader => self.grace().stretched(),
         };
-        last_renewal + self.worker_lease.stretched() + EXPIRY_ALLOWANCE
+        last_renewal + self.worker_lease.stretched() + EXPIRY_MARGIN
     }
 
     /// Whether the bound on cancelled tasks can be kept at all with these settings.
--- a/crates/leadership/src/failure_detector.rs
+++ b/crates/leadership/src/failure_detector.rs
@@ -24,15 +24,15 @@
 pub enum FailureEvidence {
     /// No node hears it, its liveness record does not change, and a probe had no answer.
     Silence,
-    /// It reports that the state service does not answer it, while the state service answers this node.
-    StateLost,
+    /// The leader reports that the state service does not answer it, while the state service answers this node.
+    StateServiceLost,
 }
 
 impl fmt::Display for FailureEvidence {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            FailureEvidence::Silence => "silent everywhere",
-            FailureEvidence::StateLost => "without the state service",
+            FailureEvidence::Silence => "no heartbeat, liveness record change or probe answer",
+            FailureEvidence::StateServiceLost => "the leader reports no answer from the state service",
         })
     }
 }
@@ -40,9 +40,9 @@
 /// What to do about a leader now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailureAction {
-    /// Nothing; the leader is alive, or there is not enough evidence yet.
-    Nothing,
-    /// Ask the leader directly whether it is alive.
+    /// No action: the leader is alive, or there is not enough evidence yet.
+    None,
+    /// Send a liveness probe directly to the leader.
     Probe,
     /// Replace the leader before its node lease expires.
     Fence(FailureEvidence),
@@ -97,9 +97,9 @@
     /// How long the state service had not answered the leader when it sent its newest heartbeat; none if that is not
     /// recent.
     pub state_silence: Option<Span>,
-    /// Whether this node hears no other controller either.
-    pub isolated: bool,
-    /// How many nodes come before this one in replacing the leader.
+    /// `true` if this node receives no heartbeats from any other controller either.
+    pub observer_isolated: bool,
+    /// Number of nodes that precede this one in the order in which nodes replace the leader.
     pub rank: u32,
     /// How many leaders were recently suspected falsely.
     pub false_suspicions: u32,
@@ -174,7 +174,7 @@
     pub fn silence_limit(&self, observation: &LeaderObservation) -> Span {
         let usual = self.heartbeat_interval.unusual_silence().max(self.min_silence);
         let doublings =
-            observation.false_suspicions.min(MAX_FALSE_SUSPICION_DOUBLINGS) + u32::from(observation.isolated);
+            observation.false_suspicions.min(MAX_FALSE_SUSPICION_DOUBLINGS) + u32::from(observation.observer_isolated);
         let limit = usual.times(f64::from(1u32 << doublings));
         (limit + rank_delay(observation)).min(self.max_silence)
     }
@@ -191,7 +191,7 @@
         if !health.is_healthy(now, self.min_silence) {
             // What looks like a fault of the leader may be a fault of this node.
             self.phase = Phase::Trusted;
-            return FailureAction::Nothing;
+            return FailureAction::None;
         }
         let silence_limit = self.silence_limit(observation);
         let silence = now.since(observation.last_alive);
@@ -210,10 +210,10 @@
             }
             Phase::Probed(at) if now.since(at) > PROBE_TIMEOUT => {
                 self.phase = Phase::Unanswered;
-                FailureAction::Nothing
+                FailureAction::None
             }
             Phase::Unanswered if is_silent_too_long => FailureAction::Fence(FailureEvidence::Silence),
-            _ => FailureAction::Nothing,
+            _ => FailureAction::None,
         }
     }
 }
@@ -228,7 +228,7 @@
     // the delay between two ranks.
     let limit = silence_limit + rank_delay(observation);
     match observation.state_silence {
-        Some(silence) if silence >= limit => FailureAction::Fence(FailureEvidence::StateLost),
-        _ => FailureAction::Nothing,
+        Some(silence) if silence >= limit => FailureAction::Fence(FailureEvidence::StateServiceLost),
+        _ => FailureAction::None,
     }
 }
--- a/crates/leadership/src/leader_lease.rs
+++ b/crates/leadership/src/leader_lease.rs
@@ -24,8 +24,8 @@
 }
 
 impl LeadershipBounds {
-    /// Returns the longer of both bounds, each taken by itself.
-    pub fn or_longer(self, other: LeadershipBounds) -> LeadershipBounds {
+    /// Returns the longer decision bound and the longer read bound of `self` and `other`.
+    pub fn max(self, other: LeadershipBounds) -> LeadershipBounds {
         LeadershipBounds {
             decision_ms: self.decision_ms.max(other.decision_ms),
             read_ms: self.read_ms.max(other.read_ms),
--- a/crates/leadership/src/membership.rs
+++ b/crates/leadership/src/membership.rs
@@ -86,9 +86,9 @@
     pub term_seen_at: Time,
     /// Since when the shard has had no leadership record.
     pub absent_since: Option<Time>,
-    /// When this node released the shard to another node.
-    pub released: Option<Time>,
-    /// The leader of the term before the present one.
+    /// Time at which this node last released its leadership of the shard.
+    pub released_at: Option<Time>,
+    /// Leader of the term before the current one; `None` once a heartbeat of that leader has arrived.
     deposed: Option<NodeIncarnation>,
     /// When deposed leaders showed, soon after their replacement, that they were alive.
     false_suspicion_times: Vec<Time>,
@@ -244,7 +244,7 @@
     pub fn record_release(&mut self, shard: ShardId, now: Time) {
         if let Some(leadership) = self.leadership_mut(shard) {
             leadership.leader = None;
-            leadership.released = Some(now);
+            leadership.released_at = Some(now);
         }
     }
 
@@ -265,15 +265,15 @@
     /// Returns when a node last showed that it is alive: to this node, to a peer that this node hears, or by its
     /// liveness record. Returns none if this node never heard it.
     pub fn last_alive(&self, node: &NodeLabel, now: Time) -> Option<Time> {
-        let heard_here = self.peers.get(node)?.seen;
+        let own_last_heartbeat = self.peers.get(node)?.seen;
         let other_peers = self.reachable_peers(now).filter(|(other, _)| *other != node);
-        let heard_by_peers = other_peers.filter_map(|(_, peer)| {
-            let (_, age) = peer.peer_status.peer_ages.iter().find(|(heard, _)| heard == node)?;
+        let last_heartbeats_at_peers = other_peers.filter_map(|(_, peer)| {
+            let (_, age) = peer.peer_status.peer_ages.iter().find(|(sender, _)| sender == node)?;
             Some(peer.seen - *age)
         });
         let liveness_seen =
             self.shards_led_by(node).filter_map(|(_, leadership)| leadership.liveness.map(|known| known.seen_at));
-        heard_by_peers.chain(liveness_seen).chain([heard_here]).max()
+        last_heartbeats_at_peers.chain(liveness_seen).chain([own_last_heartbeat]).max()
     }
 
     /// Returns how long ago a heartbeat of each of the peers arrived.
@@ -281,12 +281,13 @@
         self.peers.iter().map(|(node, peer)| (node.clone(), now.since(peer.seen))).collect()
     }
 
-    /// Whether some controller was not heard here, or did not hear this node, `within` that time. A leader then
-    /// writes a liveness record.
-    pub fn is_partitioned(&self, now: Time, within: Span) -> bool {
-        let hears_this_node =
-            |peer: &Peer| peer.peer_status.peer_ages.iter().any(|(node, age)| *node == self.this_node && *age < within);
-        let is_connected = |peer: &Peer| now.since(peer.seen) < within && hears_this_node(peer);
+    /// Returns `true` if heartbeats between this node and at least one other controller have not arrived, in either
+    /// direction, within `timeout`. A leader then writes a liveness record.
+    pub fn is_partitioned(&self, now: Time, timeout: Span) -> bool {
+        let is_reached = |peer: &Peer| {
+            peer.peer_status.peer_ages.iter().any(|(node, age)| *node == self.this_node && *age < timeout)
+        };
+        let is_connected = |peer: &Peer| now.since(peer.seen) < timeout && is_reached(peer);
         let mut other_nodes = self.zones.keys().filter(|node| **node != self.this_node);
         other_nodes.any(|node| !self.peers.get(node).is_some_and(is_connected))
     }
--- a/crates/leadership/src/overlap.rs
+++ b/crates/leadership/src/overlap.rs
@@ -53,13 +53,13 @@
     /// Records that a node knows of a term at least as new as the one that replaced the deposed leader, and returns
     /// whether this ends the overlap.
     ///
-    /// It does if the node is the deposed leader, which can never return to an older term. A different incarnation
-    /// of the same label counts only if `one_process` of a label can run at a time.
-    pub fn record_heartbeat_from(&mut self, node: &NodeLabel, incarnation: u64, one_process: bool) -> bool {
-        let is_deposed = self
-            .deposed
-            .as_ref()
-            .is_some_and(|deposed| deposed.node == *node && (deposed.incarnation == incarnation || one_process));
+    /// The overlap ends if the node is the deposed leader, which can never return to an older term. A different
+    /// incarnation of the same label counts only if `one_process_per_label` is set: two processes with the same label
+    /// cannot run at the same time then.
+    pub fn record_heartbeat_from(&mut self, node: &NodeLabel, incarnation: u64, one_process_per_label: bool) -> bool {
+        let is_deposed = self.deposed.as_ref().is_some_and(|deposed| {
+            deposed.node == *node && (deposed.incarnation == incarnation || one_process_per_label)
+        });
         let ends = !self.ended_early && incarnation != 0 && is_deposed;
         self.ended_early |= ends;
         ends
--- a/crates/leadership/src/readiness.rs
+++ b/crates/leadership/src/readiness.rs
@@ -17,14 +17,14 @@
     LeaderLease,
     /// This process has not been paused since it acquired the leadership.
     NoLongPause,
-    /// All former leaders applied the same team limits as this node.
-    SameTeamLimits,
+    /// All former leaders applied the same team quotas as this node.
+    SameTeamQuotas,
     /// The machine types are known.
     Catalog,
 }
 
 const ALL_CHECKS: [Check; 5] =
-    [Check::LeadershipConfirmed, Check::LeaderLease, Check::NoLongPause, Check::SameTeamLimits, Check::Catalog];
+    [Check::LeadershipConfirmed, Check::LeaderLease, Check::NoLongPause, Check::SameTeamQuotas, Check::Catalog];
 
 impl Check {
     /// Whether nothing may be decided until the check is passed. The other checks only restrict some decisions, and
@@ -38,8 +38,8 @@
             Check::LeadershipConfirmed => facts.leadership_confirmed,
             Check::LeaderLease => facts.lease_left >= MIN_LEASE_LEFT,
             Check::NoLongPause => facts.longest_pause < MAX_PAUSE,
-            Check::SameTeamLimits => facts.same_limits,
-            Check::Catalog => facts.catalog,
+            Check::SameTeamQuotas => facts.same_quotas,
+            Check::Catalog => facts.catalog_known,
         }
     }
 }
@@ -50,7 +50,7 @@
             Check::LeadershipConfirmed => "leadership confirmed after the records were read",
             Check::LeaderLease => "leader lease valid",
             Check::NoLongPause => "process not paused",
-            Check::SameTeamLimits => "same team limits as former leaders",
+            Check::SameTeamQuotas => "same team quotas as former leaders",
             Check::Catalog => "machine types known",
         })
     }
@@ -65,10 +65,10 @@
     pub lease_left: Span,
     /// The longest pause between two ticks since the leadership was acquired.
     pub longest_pause: Span,
-    /// Whether all former leaders applied the same team limits as this node.
-    pub same_limits: bool,
-    /// Whether the catalog of machine types is known.
-    pub catalog: bool,
+    /// `true` if all former leaders applied the same team quotas as this node.
+    pub same_quotas: bool,
+    /// `true` if the catalog of machine types is known.
+    pub catalog_known: bool,
 }
 
 /// The checklist of one leadership term.
@@ -85,18 +85,19 @@
         ReadinessChecklist { acquired_at, passed_at: [None; ALL_CHECKS.len()] }
     }
 
-    /// Makes all checks and returns the required ones that are not passed.
-    pub fn missing(&mut self, now: Time, facts: &ReadinessFacts) -> Vec<Check> {
+    /// Evaluates all checks and returns the required ones that are not passed.
+    pub fn evaluate(&mut self, now: Time, facts: &ReadinessFacts) -> Vec<Check> {
         for check in ALL_CHECKS {
             let passed_at = &mut self.passed_at[check as usize];
             *passed_at = if check.is_passed(facts) { passed_at.or(Some(now)) } else { None };
         }
-        let is_missing = |check: &Check| check.is_required() && !check.is_passed(facts);
-        ALL_CHECKS.into_iter().filter(is_missing).collect()
+        let is_outstanding = |check: &Check| check.is_required() && !check.is_passed(facts);
+        ALL_CHECKS.into_iter().filter(is_outstanding).collect()
     }
 
-    /// Returns every check with the time from the beginning of the term until the check was passed, if it is.
-    pub fn times(&self) -> impl Iterator<Item = (Check, Option<Span>)> + '_ {
+    /// Returns every check with the time from the beginning of the term until the check was passed, or `None` if it is
+    /// not passed.
+    pub fn pass_times(&self) -> impl Iterator<Item = (Check, Option<Span>)> + '_ {
         let elapsed = |check: Check| self.passed_at[check as usize].map(|at| at.since(self.acquired_at));
         ALL_CHECKS.into_iter().map(move |check| (check, elapsed(check)))
     }
--- a/crates/leadership/src/watch_cache.rs
+++ b/crates/leadership/src/watch_cache.rs
@@ -40,8 +40,8 @@
 
 /// What the replica has cost so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Cost {
-    /// Requests sent.
+pub struct WatchCacheStatistics {
+    /// Number of requests sent.
     pub requests: u64,
     /// Records and changes received.
     pub records: u64,
@@ -75,7 +75,7 @@
     in_flight: bool,
     next_request_at: Time,
     retry_delay: Span,
-    cost: Cost,
+    statistics: WatchCacheStatistics,
 }
 
 impl<R> WatchCache<R> {
@@ -89,7 +89,7 @@
             in_flight: false,
             next_request_at: Time::ZERO,
             retry_delay: MIN_RETRY_DELAY,
-            cost: Cost::default(),
+            statistics: WatchCacheStatistics::default(),
         }
     }
 
@@ -119,7 +119,7 @@
             Phase::Synced(synced_revision) => WatchRequest::Watch { after: *synced_revision },
         };
         self.in_flight = true;
-        self.cost.requests += 1;
+        self.statistics.requests += 1;
         Some(request)
     }
 
@@ -131,7 +131,7 @@
         }
         let first_revision = first_revision.unwrap_or(revision);
         let last_key = entries.last().map(|(key, ..)| key.clone());
-        self.cost.records += entries.len() as u64;
+        self.statistics.records += entries.len() as u64;
         self.records.extend(entries.into_iter().map(|(key, version, record)| (key, (version, record))));
         self.retry_delay = MIN_RETRY_DELAY;
         match last_key {
@@ -154,7 +154,7 @@
         if !std::mem::take(&mut self.in_flight) {
             return;
         }
-        self.cost.records += changes.len() as u64;
+        self.statistics.records += changes.len() as u64;
         for change in changes {
             self.apply(change);
         }
@@ -203,9 +203,9 @@
         self.records.is_empty()
     }
 
-    /// Returns what the replica has cost so far.
-    pub fn cost(&self) -> Cost {
-        self.cost
+    /// Returns the number of requests and records used so far.
+    pub fn statistics(&self) -> WatchCacheStatistics {
+        self.statistics
     }
 
     /// Applies a change unless the replica already has a newer version of the key, from a page that was read after
@@ -236,7 +236,7 @@
 
     fn restart(&mut self, now: Time) {
         self.stop();
-        self.cost.restarts += 1;
+        self.statistics.restarts += 1;
         self.back_off(now);
     }
 
--- a/crates/leadership/tests/failure_detector.rs
+++ b/crates/leadership/tests/failure_detector.rs
@@ -27,11 +27,11 @@
     AnswersProbes,
     /// The leader's heartbeats and probe answers are lost, but it writes its liveness record.
     WritesLiveness,
-    /// The leader is silent, and the watching node's ticks come late.
-    WatcherSlow,
-    /// The leader is silent, and the state service does not answer the watching node.
-    WatcherLosesState,
-    /// The leader tells that the state service does not answer it.
+    /// The leader is silent, and the ticks of the monitoring node are late.
+    ObserverSlow,
+    /// The leader is silent, and the state service does not answer the monitoring node.
+    ObserverLosesState,
+    /// The leader reports that the state service does not answer it.
     LeaderLosesState,
 }
 
@@ -47,9 +47,9 @@
     next_heartbeat: Time,
     last_alive: Time,
     last_heartbeat: Time,
-    /// When the outcome of the probe in flight will be known.
-    probe_ends: Option<Time>,
-    /// What the leader last told about the state service.
+    /// Time at which the outcome of the probe in flight will be known.
+    probe_ends_at: Option<Time>,
+    /// Time without an answer of the state service that the leader last reported.
     state_silence: Span,
 }
 
@@ -65,7 +65,7 @@
             next_heartbeat: START,
             last_alive: START,
             last_heartbeat: START,
-            probe_ends: None,
+            probe_ends_at: None,
             state_silence: Span::ZERO,
         }
     }
@@ -82,10 +82,10 @@
             self.finish_probe();
             match self.detector.step(self.now, &self.observation(), &self.health) {
                 FailureAction::Probe => {
-                    self.probe_ends = Some(self.now + Span::millis(self.rng.random_range(1..400)));
+                    self.probe_ends_at = Some(self.now + Span::millis(self.rng.random_range(1..400)));
                 }
                 FailureAction::Fence(evidence) => return Some((self.now.since(FAULT_AT), evidence)),
-                FailureAction::Nothing => {}
+                FailureAction::None => {}
             }
         }
         None
@@ -97,10 +97,10 @@
 
     fn tick(&mut self) {
         self.is_faulty = self.now >= FAULT_AT;
-        let delay = if self.has(Fault::WatcherSlow) { 550..900 } else { 0..20 };
+        let delay = if self.has(Fault::ObserverSlow) { 550..900 } else { 0..20 };
         self.now += TICK + Span::millis(self.rng.random_range(delay));
         self.health.ticked(self.now);
-        if !self.has(Fault::WatcherLosesState) {
+        if !self.has(Fault::ObserverLosesState) {
             self.health.state_answered(self.now);
         }
     }
@@ -128,11 +128,11 @@
     }
 
     fn finish_probe(&mut self) {
-        let Some(ends) = self.probe_ends else { return };
-        if self.now < ends {
+        let Some(ends_at) = self.probe_ends_at else { return };
+        if self.now < ends_at {
             return;
         }
-        self.probe_ends = None;
+        self.probe_ends_at = None;
         self.detector.record_probe_outcome(matches!(self.fault, Fault::None | Fault::AnswersProbes));
         if self.fault == Fault::AnswersProbes {
             self.last_alive = self.now;
@@ -144,7 +144,7 @@
         LeaderObservation {
             last_alive: self.last_alive,
             state_silence: is_recent.then_some(self.state_silence),
-            isolated: false,
+            observer_isolated: false,
             rank: 0,
             false_suspicions: 0,
         }
@@ -155,13 +155,14 @@
 fn only_a_failed_leader_is_replaced_and_within_bounded_time() {
     for seed in 0..300 {
         for fault in
-            [Fault::None, Fault::AnswersProbes, Fault::WritesLiveness, Fault::WatcherSlow, Fault::WatcherLosesState]
+            [Fault::None, Fault::AnswersProbes, Fault::WritesLiveness, Fault::ObserverSlow, Fault::ObserverLosesState]
         {
             assert_eq!(Run::new(seed, fault).time_to_fence(), None, "{fault:?}, seed {seed}");
         }
-        for (fault, expected) in
-            [(Fault::LeaderDown, FailureEvidence::Silence), (Fault::LeaderLosesState, FailureEvidence::StateLost)]
-        {
+        for (fault, expected) in [
+            (Fault::LeaderDown, FailureEvidence::Silence),
+            (Fault::LeaderLosesState, FailureEvidence::StateServiceLost),
+        ] {
             let (after, evidence) = Run::new(seed, fault).time_to_fence().expect("a failed leader is replaced");
             assert_eq!(evidence, expected, "{fault:?}, seed {seed}");
             assert!(after < Span::millis(2500), "{fault:?}, seed {seed}: after {} ms", after.as_millis());
@@ -176,7 +177,7 @@
         detector.silence_limit(&LeaderObservation {
             last_alive: Time::ZERO,
             state_silence: None,
-            isolated: false,
+            observer_isolated: false,
             rank,
             false_suspicions,
         })
--- a/crates/leadership/tests/leader_lease.rs
+++ b/crates/leadership/tests/leader_lease.rs
@@ -41,11 +41,17 @@
     let now = Time(5_000_000);
     let mut overlap = LeadershipOverlap::new(now, bounds, Some(NodeIncarnation { node: label(1), incarnation: 7 }));
     assert!(!overlap.record_heartbeat_from(&label(2), 7, true), "another node");
-    assert!(!overlap.record_heartbeat_from(&label(1), 8, false), "another incarnation, where two may run at a time");
-    assert!(!overlap.record_heartbeat_from(&label(1), 0, true), "a node that does not tell its incarnation");
+    assert!(
+        !overlap.record_heartbeat_from(&label(1), 8, false),
+        "another incarnation, if two processes may run with the same label"
+    );
+    assert!(!overlap.record_heartbeat_from(&label(1), 0, true), "a node that reports no incarnation");
     assert!(!overlap.may_record_done(now) && !overlap.is_over(now));
     assert!(overlap.record_heartbeat_from(&label(1), 7, false));
     assert!(overlap.may_record_done(now) && overlap.may_record_cancelled(now));
     let mut inherited = LeadershipOverlap::new(now, bounds, None);
-    assert!(!inherited.record_heartbeat_from(&label(1), 7, true), "the leader that a former leader deposed is unknown");
+    assert!(
+        !inherited.record_heartbeat_from(&label(1), 7, true),
+        "the leader that a former leader replaced is not known"
+    );
 }
--- a/crates/leadership/tests/watch_cache.rs
+++ b/crates/leadership/tests/watch_cache.rs
@@ -8,7 +8,7 @@
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
 
-const PAGE: usize = 3;
+const PAGE_SIZE: usize = 3;
 
 /// Keys with the revision at which each was last written, and its value.
 type Keys = BTreeMap<String, (u64, u32)>;
@@ -55,7 +55,7 @@
         let following = self.keys.iter().filter(|(key, _)| after.is_none_or(|after| *key > after));
         let entries: Vec<_> =
             following.map(|(key, (revision, value))| (key.clone(), Revision(*revision), *value)).collect();
-        (entries.iter().take(PAGE).cloned().collect(), entries.len() > PAGE)
+        (entries.iter().take(PAGE_SIZE).cloned().collect(), entries.len() > PAGE_SIZE)
     }
 
     fn changes(&self, after: u64, until: u64) -> Vec<WatchChange<u32>> {
@@ -172,7 +172,10 @@
         }
         let missing = expected.keys().find(|key| !replica.contains_key(*key));
         let has_changed = |key: &String| self.service.has_changed_after(key, synced_revision.0);
-        assert!(missing.is_none_or(has_changed), "seed {seed}: {missing:?} is missing, synced to {synced_revision}");
+        assert!(
+            missing.is_none_or(has_changed),
+            "seed {seed}: {missing:?} is missing from the replica, which is synced to {synced_revision}"
+        );
         self.synced_checks += 1;
     }
 }
@@ -188,7 +191,10 @@
         checked += run.synced_checks;
         compactions += run.compactions;
     }
-    assert!(checked > 10_000 && compactions > 100, "{checked} synced replicas and {compactions} compactions");
+    assert!(
+        checked > 10_000 && compactions > 100,
+        "only {checked} checks of synced replicas and {compactions} compactions"
+    );
 }
 
 #[test]
--- a/src/coordination/confirmation.rs
+++ b/src/coordination/confirmation.rs
@@ -21,8 +21,8 @@
 /// An answer that counts only once its term was seen to stand after the answer had come.
 struct DeferredAnswer {
     leadership: LeadershipTerm,
-    /// When the answer came.
-    received: Time,
+    /// Arrival time of the answer.
+    received_at: Time,
     call: DeferredCall,
 }
 
@@ -65,7 +65,7 @@
     fn take_confirmed(&mut self, leadership: LeadershipTerm, sent: Time) -> Vec<DeferredAnswer> {
         self.take(|deferred| {
             deferred.leadership.shard == leadership.shard
-                && (deferred.leadership.term != leadership.term || deferred.received <= sent)
+                && (deferred.leadership.term != leadership.term || deferred.received_at <= sent)
         })
     }
 
@@ -148,7 +148,7 @@
     }
 
     fn defer(&mut self, leadership: LeadershipTerm, call: DeferredCall) {
-        self.confirmation.deferred.push(DeferredAnswer { leadership, received: self.now, call });
+        self.confirmation.deferred.push(DeferredAnswer { leadership, received_at: self.now, call });
         self.check_leadership(leadership.shard);
     }
 
--- a/src/coordination/leadership/acquisition.rs
+++ b/src/coordination/leadership/acquisition.rs
@@ -47,7 +47,7 @@
 /// still names.
 fn inherited_bounds(fenced: Option<&FencedLeader>, previous: &PreviousTermRecord) -> Option<LeadershipBounds> {
     match (fenced, previous.overlap) {
-        (Some(fenced), Some(previous_bounds)) => Some(fenced.bounds.or_longer(previous_bounds)),
+        (Some(fenced), Some(previous_bounds)) => Some(fenced.bounds.max(previous_bounds)),
         (Some(fenced), None) => Some(fenced.bounds),
         (None, previous_bounds) => previous_bounds,
     }
--- a/src/coordination/leadership/failure_detection.rs
+++ b/src/coordination/leadership/failure_detection.rs
@@ -29,8 +29,8 @@
     detectors: BTreeMap<NodeLabel, FailureDetector>,
     /// The probes in flight, by the node that is probed.
     probes: HashMap<OutboundCallId, NodeLabel>,
-    /// The addresses at which users and workers reach the leaders, as the leadership records say.
-    front_addresses: BTreeMap<NodeLabel, SocketAddrV4>,
+    /// Addresses at which the leaders listen for users and workers, from their leadership records. Probes use them too.
+    probe_addresses: BTreeMap<NodeLabel, SocketAddrV4>,
 }
 
 impl FailureDetection {
@@ -42,7 +42,7 @@
             self_health: SelfHealth::default(),
             detectors: BTreeMap::new(),
             probes: HashMap::new(),
-            front_addresses: BTreeMap::new(),
+            probe_addresses: BTreeMap::new(),
         }
     }
 
@@ -68,10 +68,10 @@
         detector.record_heartbeat(now);
     }
 
-    /// Remembers at which address a leader can be probed, if its record names one.
-    pub fn set_front_address(&mut self, node: &NodeLabel, address: Option<SocketAddrV4>) {
+    /// Stores the address at which a leader can be probed, if its leadership record contains one.
+    pub fn set_probe_address(&mut self, node: &NodeLabel, address: Option<SocketAddrV4>) {
         if let Some(address) = address {
-            self.front_addresses.insert(node.clone(), address);
+            self.probe_addresses.insert(node.clone(), address);
         }
     }
 
@@ -87,7 +87,7 @@
     fn next_action(&mut self, node: &NodeLabel, now: Time, observation: &LeaderObservation) -> FailureAction {
         match self.detectors.get_mut(node) {
             Some(detector) => detector.step(now, observation, &self.self_health),
-            None => FailureAction::Nothing,
+            None => FailureAction::None,
         }
     }
 }
@@ -116,12 +116,12 @@
         }
         let Some(observation) = self.observe_leader(node, &led_shards) else { return };
         match self.leadership.failure_detection.next_action(node, self.now, &observation) {
-            FailureAction::Nothing => {}
+            FailureAction::None => {}
             FailureAction::Probe => self.probe(node),
             FailureAction::Fence(evidence) => {
                 let duration = match evidence {
                     FailureEvidence::Silence => self.now.since(observation.last_alive),
-                    FailureEvidence::StateLost => observation.state_silence.unwrap_or_default(),
+                    FailureEvidence::StateServiceLost => observation.state_silence.unwrap_or_default(),
                 };
                 self.fence(node, led_shards, evidence, duration);
             }
@@ -136,7 +136,7 @@
         Some(LeaderObservation {
             last_alive: self.membership.last_alive(node, now)?,
             state_silence: peer.map(|peer| peer.peer_status.state_silence),
-            isolated: self.membership.reachable_peers(now).all(|(other, _)| other == node),
+            observer_isolated: self.membership.reachable_peers(now).all(|(other, _)| other == node),
             rank: self.membership.rank(node, now),
             false_suspicions: terms.map(|leadership| leadership.false_suspicions(now)).max().unwrap_or(0),
         })
@@ -145,7 +145,7 @@
     /// Asks a leader directly whether it lives, at the address at which users and workers reach it.
     fn probe(&mut self, node: &NodeLabel) {
         let call = self.calls.next_call_id();
-        match self.leadership.failure_detection.front_addresses.get(node).copied() {
+        match self.leadership.failure_detection.probe_addresses.get(node).copied() {
             Some(addr) => {
                 log::debug!("probing {node}");
                 self.leadership.failure_detection.probes.insert(call, node.clone());
--- a/src/coordination/leadership/isolation.rs
+++ b/src/coordination/leadership/isolation.rs
@@ -9,9 +9,10 @@
 
 /// For how many heartbeat intervals no worker may have been heard before a shard is released in isolation.
 const MISSED_HEARTBEATS: f64 = 3.0;
-/// The same as a share of the worker lease; the longer of both applies.
-const SILENCE_SHARE_OF_WORKER_LEASE: f64 = 0.5;
-/// How many worker leases the first backoff lasts.
+/// Silence of all workers of a shard, as a fraction of the worker lease, after which an isolated controller releases
+/// the shard. The longer of this time and [`MISSED_HEARTBEATS`] applies.
+const SILENCE_FRACTION_OF_WORKER_LEASE: f64 = 0.5;
+/// Duration of the first backoff, in worker leases.
 const FIRST_BACKOFF_IN_WORKER_LEASES: f64 = 2.0;
 /// How many worker leases a backoff lasts at most.
 const MAX_BACKOFF_IN_WORKER_LEASES: f64 = 8.0;
@@ -81,7 +82,7 @@
     /// The shards that have workers, none of which was heard lately.
     fn shards_with_silent_workers(&self) -> Vec<ShardId> {
         let heartbeats = self.settings.heartbeat_interval.times(MISSED_HEARTBEATS);
-        let timeout = heartbeats.max(self.settings.worker_lease.times(SILENCE_SHARE_OF_WORKER_LEASE));
+        let timeout = heartbeats.max(self.settings.worker_lease.times(SILENCE_FRACTION_OF_WORKER_LEASE));
         let is_silent = |shard: &&Shard| {
             let last_heard = shard.machines.values().map(|machine| machine.seen).max();
             shard.is_active()
--- a/src/coordination/leadership/leader_watch.rs
+++ b/src/coordination/leadership/leader_poll.rs
@@ -27,12 +27,12 @@
 
 /// The polling of who leads which shard.
 #[derive(Default)]
-pub(super) struct LeaderWatch {
+pub(super) struct LeaderPoll {
     last_poll: Time,
     poll_in_flight: bool,
 }
 
-impl LeaderWatch {
+impl LeaderPoll {
     fn is_due(&self, now: Time, interval: Span) -> bool {
         now.since(self.last_poll) >= interval
     }
@@ -66,14 +66,14 @@
     /// Reads who leads which shard if that is due.
     pub(super) fn poll_leaders_if_due(&mut self) {
         let interval = self.settings.properties.leadership_poll_interval;
-        if self.leadership.leader_watch.is_due(self.now, interval) {
+        if self.leadership.leader_poll.is_due(self.now, interval) {
             self.poll_leaders();
         }
     }
 
     /// Reads who leads which shard, unless that is being done already.
     pub(super) fn poll_leaders(&mut self) {
-        if self.leadership.leader_watch.begin_poll(self.now) {
+        if self.leadership.leader_poll.begin_poll(self.now) {
             let request = StateCall::List { prefix: keys::SHARDS, after: None };
             self.call_state(request, LeadershipOperation::ListLeaders);
         }
@@ -81,7 +81,7 @@
 
     /// Reacts to the records of all shards.
     pub(super) fn leaders_listed(&mut self, sent: Time, answer: StateResult) {
-        self.leadership.leader_watch.poll_answered();
+        self.leadership.leader_poll.poll_answered();
         let Ok(StateAnswer::Page { entries, .. }) = answer else { return };
         for shard in 0..self.settings.shards {
             self.shard_listed(ShardId(shard), &entries, sent);
@@ -110,7 +110,7 @@
             return;
         }
         self.membership.record_leadership(id, entry.version, &record.node, record.incarnation, record.bounds, self.now);
-        self.leadership.failure_detection.set_front_address(&record.node, record.front);
+        self.leadership.failure_detection.set_probe_address(&record.node, record.front);
         self.leadership_confirmed(LeadershipTerm { shard: id, term: entry.version }, sent);
         match self.shards.get(&id).map(|shard| shard.term) {
             Some(term) if term < entry.version => self.step_down(id, StepDownReason::TermReplaced),
@@ -168,8 +168,8 @@
 
     /// Whether this node has released a shard so lately that it is left to the node to which it was handed over.
     fn is_handed_over(&self, id: ShardId) -> bool {
-        let released = self.membership.leadership(id).and_then(|leadership| leadership.released);
-        released.is_some_and(|released| self.now.since(released) < HAND_OVER_WAIT)
+        let released_at = self.membership.leadership(id).and_then(|leadership| leadership.released_at);
+        released_at.is_some_and(|released_at| self.now.since(released_at) < HAND_OVER_WAIT)
     }
 
     /// How long this node leaves a shard without a leader to others.
@@ -179,14 +179,14 @@
             return Span::ZERO;
         }
         let other_led_shards = self.shards.len().saturating_sub(1) as u64;
-        let places = u64::from(rank) - 1 + RANKS_PER_LED_SHARD * other_led_shards;
-        let turn = WAIT_PER_RANK.times(places as f64);
+        let ranks = u64::from(rank) - 1 + RANKS_PER_LED_SHARD * other_led_shards;
+        let rank_wait = WAIT_PER_RANK.times(ranks as f64);
         if self.is_ready_and_reachable(self.preferred_leader(id)) {
-            PREFERRED_LEADER_WAIT + turn
+            PREFERRED_LEADER_WAIT + rank_wait
         } else if was_led {
-            turn
+            rank_wait
         } else {
-            FIRST_LEADER_WAIT + turn
+            FIRST_LEADER_WAIT + rank_wait
         }
     }
 
--- a/src/coordination/leadership/mod.rs
+++ b/src/coordination/leadership/mod.rs
@@ -19,7 +19,7 @@
 mod failure_detection;
 mod isolation;
 mod leader_lease;
-mod leader_watch;
+mod leader_poll;
 mod liveness;
 mod node_lease;
 mod operation;
@@ -42,7 +42,7 @@
 use crowstall_leadership::LeadershipBounds;
 use failure_detection::FailureDetection;
 use isolation::AcquisitionBackoff;
-use leader_watch::LeaderWatch;
+use leader_poll::LeaderPoll;
 use liveness::LivenessWriter;
 use node_lease::NodeLease;
 use peer_heartbeats::PeerHeartbeats;
@@ -56,9 +56,9 @@
     bounds: Option<LeadershipBounds>,
     /// This node's lease at the state service.
     node_lease: NodeLease,
-    /// Reading who leads which shard.
-    leader_watch: LeaderWatch,
-    /// What the previous leaders of each shard went by.
+    /// Polling of the leadership records.
+    leader_poll: LeaderPoll,
+    /// Newest known previous-term record of each shard.
     previous_terms: PreviousTerms,
     /// Set while this node acquires nothing because it has stepped down in isolation.
     acquisition_backoff: AcquisitionBackoff,
@@ -83,7 +83,7 @@
         NodeLeadership {
             bounds: properties.standby.enabled.then_some(bounds),
             node_lease: NodeLease::default(),
-            leader_watch: LeaderWatch::default(),
+            leader_poll: LeaderPoll::default(),
             previous_terms: PreviousTerms::new(settings.shards as usize),
             acquisition_backoff: AcquisitionBackoff::default(),
             pauses: PauseMonitor::default(),
--- a/src/coordination/leadership/node_lease.rs
+++ b/src/coordination/leadership/node_lease.rs
@@ -12,11 +12,11 @@
 
 /// How long after a request for a lease the next one is sent.
 const GRANT_RETRY_INTERVAL: Span = Span::millis(200);
-/// The share of the lease's time to live after which it is renewed.
-const KEEP_ALIVE_SHARE: f64 = 0.25;
-/// When less than this share of the lease's time to live is left, a keep-alive must have failed.
-const MIN_REMAINING_SHARE: f64 = 0.6;
-/// How long after a keep-alive the next one is sent once one has failed.
+/// Time between two keep-alives, as a fraction of the lease's time to live.
+const KEEP_ALIVE_FRACTION: f64 = 0.25;
+/// Remaining fraction of the lease's time to live below which a keep-alive must have failed.
+const MIN_REMAINING_FRACTION: f64 = 0.6;
+/// Time between two keep-alives after one has failed.
 const KEEP_ALIVE_RETRY_INTERVAL: Span = Span::millis(300);
 
 /// A lease that the state service has granted.
@@ -100,7 +100,11 @@
 /// How long after a keep-alive the next one is sent. Once one has failed the next ones follow sooner, since each of
 /// them may be the one that saves this node's leadership.
 fn keep_alive_interval(remaining: Span, ttl: Span) -> Span {
-    if remaining < ttl.times(MIN_REMAINING_SHARE) { KEEP_ALIVE_RETRY_INTERVAL } else { ttl.times(KEEP_ALIVE_SHARE) }
+    if remaining < ttl.times(MIN_REMAINING_FRACTION) {
+        KEEP_ALIVE_RETRY_INTERVAL
+    } else {
+        ttl.times(KEEP_ALIVE_FRACTION)
+    }
 }
 
 impl Controller {
--- a/src/coordination/leadership/readiness.rs
+++ b/src/coordination/leadership/readiness.rs
@@ -28,29 +28,31 @@
     /// Whether everything holds that is needed before the first decision of a term, now that all records have been
     /// read. What does not hold is logged, and the term is checked, since most of it waits for that.
     pub(in crate::coordination) fn is_ready_to_decide(&mut self, id: ShardId) -> bool {
-        let Some(missing) = self.missing_checks(id) else { return false };
-        if missing.is_empty() {
+        let Some(outstanding) = self.outstanding_checks(id) else { return false };
+        if outstanding.is_empty() {
             self.log_readiness(id);
             return true;
         }
-        let names: Vec<String> = missing.iter().map(Check::to_string).collect();
-        log::debug!("shard {id}: not ready for the first decision, missing: {}", names.join(", "));
+        let names: Vec<String> = outstanding.iter().map(Check::to_string).collect();
+        let checks = names.join(", ");
+        log::debug!("shard {id}: not ready for the first decision of the term, checks not passed: {checks}");
         self.check_leadership(id);
         false
     }
 
-    /// The needed checks that do not hold. None if the records of the shard have not been read.
-    fn missing_checks(&mut self, id: ShardId) -> Option<Vec<Check>> {
+    /// Returns the required checks that are not passed, or `None` if the records of the shard have not been read.
+    fn outstanding_checks(&mut self, id: ShardId) -> Option<Vec<Check>> {
         let now = self.now;
         let facts = self.readiness_facts(self.shards.get(&id)?)?;
         let shard = self.shards.get_mut(&id)?;
-        let missing = shard.leadership.checklist.missing(now, &facts);
-        if missing.contains(&Check::NoLongPause) {
-            // The term may have been replaced while this process stood still, so it has to be confirmed from now on.
+        let outstanding = shard.leadership.checklist.evaluate(now, &facts);
+        if outstanding.contains(&Check::NoLongPause) {
+            // The term may have been replaced while this process was paused, so only a leadership check that is sent
+            // from now on can confirm it.
             shard.loading.read_at = Some(now);
             self.leadership.pauses.reset();
         }
-        Some(missing)
+        Some(outstanding)
     }
 
     /// What the readiness checklist goes by. None if the records of the shard have not been read.
@@ -60,8 +62,8 @@
             leadership_confirmed: shard.leadership.leader_lease.confirmed_since(read_at),
             lease_left: self.lease_left(shard),
             longest_pause: self.leadership.pauses.longest,
-            same_limits: shard.leadership.same_quotas,
-            catalog: self.cloud.has_catalog(),
+            same_quotas: shard.leadership.same_quotas,
+            catalog_known: self.cloud.has_catalog(),
         })
     }
 
@@ -76,10 +78,13 @@
     /// Logs after how long each of the checks held.
     fn log_readiness(&self, id: ShardId) {
         let Some(shard) = self.shards.get(&id) else { return };
-        let times = shard.leadership.checklist.times().map(|(check, held_after)| match held_after {
-            Some(held_after) => format!("{check}: {} ms", held_after.as_millis()),
-            None => format!("{check}: no"),
+        let times = shard.leadership.checklist.pass_times().map(|(check, passed_after)| match passed_after {
+            Some(passed_after) => format!("{check}: {} ms", passed_after.as_millis()),
+            None => format!("{check}: not passed"),
         });
-        log::info!("shard {id}: ready for the first decision: {}", times.collect::<Vec<_>>().join("; "));
+        let checks = times.collect::<Vec<_>>().join("; ");
+        log::info!(
+            "shard {id}: ready for the first decision of the term; time from acquisition to each check: {checks}"
+        );
     }
 }
--- a/src/coordination/replica.rs
+++ b/src/coordination/replica.rs
@@ -126,8 +126,8 @@
         self.machines.stop();
     }
 
-    /// Whether the replica has not been needed for so long that it is dropped.
-    fn is_outdated(&self, now: Time) -> bool {
+    /// Returns `true` if the replica has not been needed for the retention time, so that it is to be discarded.
+    fn has_outlived_retention(&self, now: Time) -> bool {
         self.last_needed.is_none_or(|last_needed| now.since(last_needed) >= RETENTION)
     }
 
@@ -151,7 +151,7 @@
             return;
         }
         self.status_logged_at = now;
-        let (jobs, machines) = (self.jobs.cost(), self.machines.cost());
+        let (jobs, machines) = (self.jobs.statistics(), self.machines.statistics());
         log::info!(
             "replica: {} jobs and {} machines at revision {}; {} requests, {} records read, {} restarts",
             self.jobs.len(),
@@ -194,7 +194,8 @@
 }
 
 fn parse_record<R: DeserializeOwned>(key: &str, value: serde_json::Value) -> Option<R> {
-    serde_json::from_value(value).map_err(|error| log::error!("record {key} can't be read: {error}")).ok()
+    let log_error = |error| log::error!("replica: record {key} can't be read and is skipped: {error}");
+    serde_json::from_value(value).map_err(log_error).ok()
 }
 
 impl Controller {
@@ -208,7 +209,7 @@
         let is_loading = self.is_waiting_for_replica();
         if self.is_first_successor() && self.holds_lease() {
             self.replica.start(self.now);
-        } else if !is_loading && self.replica.is_outdated(self.now) {
+        } else if !is_loading && self.replica.has_outlived_retention(self.now) {
             self.replica.stop();
         }
         self.replica.log_status(self.now);
@@ -285,7 +286,10 @@
                 self.load_shard_from_replica(leadership);
             } else {
                 let LeadershipTerm { shard, term } = leadership;
-                log::info!("shard {shard}: the replica is not synced with term {term}, reading the records");
+                log::info!(
+                    "shard {shard}: the replica is not synced up to term {term}; \
+                     reading the records from the state service"
+                );
                 self.load_jobs(leadership, None);
             }
         }
