--- a/crates/leadership/src/failure_detector.rs
+++ b/crates/leadership/src/failure_detector.rs
@@ -1,28 +1,30 @@
 //! The failure detector: decides whether a leader has failed.
 //!
-//! It takes several kinds of evidence together, never one alone. A node that may itself be the one in trouble
-//! suspects itself first and suspects no leader.
+//! A leader is replaced only if several kinds of evidence agree. A node that was paused or has lost the state service
+//! may itself be the cause of the silence that it observes, so an unhealthy node suspects no leader.
 
 use crowstall_model::time::{Span, Time};
 use std::fmt;
 
-/// A tick that comes later than this after the previous one shows that this process was paused or is short of CPU.
+/// Maximum time between two ticks. A longer gap shows that this process was paused or is short of CPU.
 const MAX_TICK_GAP: Span = Span::millis(600);
-/// A longer time than this between two answers of the state service shows that this node's connection is unreliable.
+/// Maximum time between two answers of the state service. A longer gap shows that this node's connection is
+/// unreliable.
 const MAX_STATE_ANSWER_GAP: Span = Span::millis(900);
-/// How much longer a node waits per rank: long enough to see that a node of a lower rank has acted.
+/// Additional time that a node waits per rank: long enough to see that a node of a lower rank has acted.
 const DELAY_PER_RANK: Span = Span::millis(300);
-/// How long a probe may remain unanswered.
+/// Time after which a probe without an answer counts as unanswered.
 const PROBE_TIMEOUT: Span = Span::millis(500);
-/// The fraction of the silence limit after which a leader is probed.
+/// Fraction of the silence limit after which a leader is probed.
 const PROBE_AT_FRACTION: f64 = 0.4;
-/// The silence limit is doubled at most this often for false suspicions.
+/// Maximum number of times that the silence limit is doubled because of false suspicions.
 const MAX_FALSE_SUSPICION_DOUBLINGS: u32 = 4;
 
-/// Why a leader is taken for failed.
+/// Evidence on which a leader is declared failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailureEvidence {
-    /// No node hears it, its liveness record does not change, and a probe had no answer.
+    /// No reachable node receives the leader's heartbeats, its liveness record does not change, and a probe was not
+    /// answered.
     Silence,
     /// The leader reports that the state service does not answer it, while the state service answers this node.
     StateServiceLost,
@@ -37,7 +39,7 @@
     }
 }
 
-/// What to do about a leader now.
+/// Next action of this node regarding a leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailureAction {
     /// No action: the leader is alive, or there is not enough evidence yet.
@@ -48,14 +50,14 @@
     Fence(FailureEvidence),
 }
 
-/// How well this node itself works.
+/// Health of this node: the regularity of its ticks and of the state service's answers to it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SelfHealth {
     last_tick: Option<Time>,
-    /// Since when ticks have come in time.
+    /// Time of the first tick since which no gap was longer than [`MAX_TICK_GAP`].
     steady_since: Time,
     last_state_answer: Option<Time>,
-    /// Since when the state service has answered without a long gap.
+    /// Time of the first answer of the state service since which no gap was longer than [`MAX_STATE_ANSWER_GAP`].
     connected_since: Time,
 }
 
@@ -76,12 +78,12 @@
         self.last_state_answer = Some(now);
     }
 
-    /// Returns how long the state service has not answered this node.
+    /// Returns the time since the state service last answered this node.
     pub fn state_silence(&self, now: Time) -> Span {
         now.since(self.last_state_answer.unwrap_or_default())
     }
 
-    /// Whether this node has neither been paused nor lost the state service during the last `span`.
+    /// Returns `true` if this node has neither been paused nor lost the state service during the last `span`.
     pub fn is_healthy(&self, now: Time, span: Span) -> bool {
         let is_steady = self.last_tick.is_some_and(|last| now.since(last) <= MAX_TICK_GAP);
         let is_connected = self.last_state_answer.is_some_and(|last| now.since(last) <= MAX_STATE_ANSWER_GAP);
@@ -89,33 +91,34 @@
     }
 }
 
-/// What is known of a leader at one step of the detector.
+/// Observations of a leader that one step of the detector evaluates.
 #[derive(Clone, Copy, Debug)]
 pub struct LeaderObservation {
-    /// When it last showed that it is alive: to this node, to other nodes, or by its liveness record.
+    /// Time of the leader's last sign of life: a heartbeat to this node or to other nodes, or a liveness record write.
     pub last_alive: Time,
-    /// How long the state service had not answered the leader when it sent its newest heartbeat; none if that is not
-    /// recent.
+    /// Time for which the state service had not answered the leader when it sent its newest heartbeat; `None` if that
+    /// heartbeat is not recent.
     pub state_silence: Option<Span>,
     /// `true` if this node receives no heartbeats from any other controller either.
     pub observer_isolated: bool,
     /// Number of nodes that precede this one in the order in which nodes replace the leader.
     pub rank: u32,
-    /// How many leaders were recently suspected falsely.
+    /// Number of recent false suspicions of leaders.
     pub false_suspicions: u32,
 }
 
+/// State of the suspicion of one leader.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Phase {
     /// The leader is not suspected.
     Trusted,
-    /// The leader was probed at that time and has not answered yet.
+    /// A probe was sent at this time and has not been answered yet.
     Probed(Time),
-    /// The newest probe had no answer.
+    /// The newest probe was not answered.
     Unanswered,
 }
 
-/// Running estimate of the interval between heartbeats, in microseconds, as TCP estimates round-trip times.
+/// Running estimate of the interval between heartbeats, in microseconds, computed as TCP estimates round-trip times.
 #[derive(Clone, Copy, Debug, Default)]
 struct HeartbeatInterval {
     mean: f64,
@@ -134,13 +137,13 @@
         self.mean_deviation += (error.abs() - self.mean_deviation) / 4.0;
     }
 
-    /// Returns a silence that is not usual any more.
+    /// Returns the shortest silence that deviates from the estimated interval.
     fn unusual_silence(&self) -> Span {
         Span((2.0 * self.mean + 4.0 * self.mean_deviation) as u64)
     }
 }
 
-/// Watches one leader and decides when to probe and when to replace it.
+/// Failure detector for one leader, which decides when to probe and when to replace it.
 #[derive(Clone, Debug)]
 pub struct FailureDetector {
     phase: Phase,
@@ -165,7 +168,7 @@
     /// Records a heartbeat of the leader.
     pub fn record_heartbeat(&mut self, now: Time) {
         let Some(last) = self.last_heartbeat.replace(now) else { return };
-        // The interval is capped, so that one long silence does not raise the estimate of what is usual.
+        // The interval is capped, so that one long silence does not raise the estimate of the usual interval.
         let interval = (now.since(last).0 as f64).min(self.max_silence.0 as f64 / 4.0);
         self.heartbeat_interval.record(interval);
     }
@@ -179,17 +182,17 @@
         (limit + rank_delay(observation)).min(self.max_silence)
     }
 
-    /// Records the outcome of a probe: whether the leader answered that it is alive.
+    /// Records the outcome of a probe. `alive` is `true` if the leader answered that it is alive.
     pub fn record_probe_outcome(&mut self, alive: bool) {
         if matches!(self.phase, Phase::Probed(_)) {
             self.phase = if alive { Phase::Trusted } else { Phase::Unanswered };
         }
     }
 
-    /// Returns what to do about the leader now.
+    /// Returns the action that is due for the leader now.
     pub fn step(&mut self, now: Time, observation: &LeaderObservation, health: &SelfHealth) -> FailureAction {
         if !health.is_healthy(now, self.min_silence) {
-            // What looks like a fault of the leader may be a fault of this node.
+            // The apparent silence of the leader may be caused by a fault of this node.
             self.phase = Phase::Trusted;
             return FailureAction::None;
         }
@@ -222,10 +225,11 @@
     DELAY_PER_RANK.times(f64::from(observation.rank))
 }
 
-/// Replaces a leader that is heard, but reports that it has lost the state service.
+/// Returns [`FailureAction::Fence`] for a leader that sends heartbeats but reports that it has lost the state service
+/// for too long.
 fn state_loss_action(observation: &LeaderObservation, silence_limit: Span) -> FailureAction {
-    // The delay per rank counts twice: the leader reports the loss in its heartbeats, whose interval is longer than
-    // the delay between two ranks.
+    // `silence_limit` includes the delay per rank already. It is added once more because the leader reports the loss in
+    // its heartbeats, whose interval is longer than the delay between two ranks.
     let limit = silence_limit + rank_delay(observation);
     match observation.state_silence {
         Some(silence) if silence >= limit => FailureAction::Fence(FailureEvidence::StateServiceLost),
--- a/crates/leadership/src/incarnation.rs
+++ b/crates/leadership/src/incarnation.rs
@@ -1,12 +1,12 @@
-//! Identifies one run of a controller process.
+//! The identity of one run of a controller process.
 
 use crowstall_model::model::NodeLabel;
 
-/// One run of a controller process.
+/// One run of a controller process, which ends when the process exits.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NodeIncarnation {
-    /// The label of the controller, which stays the same when it restarts.
+    /// Label of the controller, which stays the same across restarts.
     pub node: NodeLabel,
-    /// Distinguishes this run from the others.
+    /// Number that differs between the runs of controllers with the same label; 0 if unknown.
     pub incarnation: u64,
 }
--- a/crates/leadership/src/leader_lease.rs
+++ b/crates/leadership/src/leader_lease.rs
@@ -1,24 +1,25 @@
-//! The leader lease: until when the leader of a shard may act.
+//! The leader lease: the period in which the leader of a shard may act.
 //!
-//! A node lease at the state service guarantees that no other node acquires the keys attached to it. That is not
-//! enough, because a leadership record may be replaced while the node lease is still alive. The leader lease
-//! therefore also counts from when the newest confirmed leadership check was *sent*. Actions under the lease are
-//! bounded in time, and a conclusion drawn from a read is valid only after a leadership check that was sent later
-//! than the read has confirmed the term.
+//! Keys attached to a node lease at the state service are kept while that lease is valid. This does not protect a
+//! leader, because its leadership record may be replaced while the node lease is still valid. The leader lease is
+//! therefore counted from when the newest confirmed leadership check was *sent*. Actions under the lease are bounded
+//! in time, and a conclusion drawn from a read is valid only after a leadership check that was sent later than the
+//! read has confirmed the term.
 
 use crowstall_model::time::{Span, Time};
 use serde::{Deserialize, Serialize};
 
-/// How long a leader goes on acting after its term was last confirmed.
+/// Maximum times for which a leader continues to act after its term was last confirmed.
 ///
-/// The bounds are stored in the leadership record of the shard, since a node that replaces the leader has to wait
-/// for them.
+/// The bounds are stored in the leadership record of the shard, because a node that replaces the leader early has to
+/// wait until they have passed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeadershipBounds {
-    /// How long the leader decides: accepts and ends jobs, rents, returns and registers machines.
+    /// Time in milliseconds for which the leader makes decisions: accepts and ends jobs, rents, returns and registers
+    /// machines.
     #[serde(rename = "decides_ms")]
     pub decision_ms: u64,
-    /// How long the leader serves users' reads from memory.
+    /// Time in milliseconds for which the leader serves users' reads from memory.
     #[serde(rename = "tells_ms")]
     pub read_ms: u64,
 }
@@ -36,39 +37,40 @@
 /// The lease under which a leader acts for one shard during one leadership term.
 #[derive(Clone, Copy, Debug)]
 pub struct LeaderLease {
-    /// When the newest confirmed leadership check was sent.
+    /// Time at which the newest confirmed leadership check was sent.
     confirmed_at: Time,
-    /// None if the leader cannot be replaced before its node lease expires.
+    /// `None` if the leader cannot be replaced before its node lease expires.
     bounds: Option<LeadershipBounds>,
 }
 
 impl LeaderLease {
-    /// Creates the lease of a new term. `sent` is when the request that acquired the leadership was sent.
+    /// Creates the lease of a new term. `sent` is the time at which the request that acquired leadership was sent.
     pub fn acquired(sent: Time, bounds: Option<LeadershipBounds>) -> LeaderLease {
         LeaderLease { confirmed_at: sent, bounds }
     }
 
-    /// Renews the lease after a leadership check that was sent at `sent` has confirmed the term.
+    /// Renews the lease after a leadership check sent at `sent` has confirmed the term.
     pub fn renew(&mut self, sent: Time) {
         self.confirmed_at = self.confirmed_at.max(sent);
     }
 
-    /// Returns when the leader has to stop deciding, or none if only its node lease bounds that.
+    /// Returns the time at which the leader has to stop making decisions, or `None` if only its node lease limits it.
     pub fn decision_deadline(&self) -> Option<Time> {
         self.bounds.map(|bounds| self.deadline_after(bounds.decision_ms))
     }
 
-    /// Whether the leader may make decisions for the shard.
+    /// Returns `true` if the leader may make decisions for the shard.
     pub fn may_decide(&self, now: Time) -> bool {
         self.decision_deadline().is_none_or(|deadline| now < deadline)
     }
 
-    /// Whether the leader may serve users' reads from memory.
+    /// Returns `true` if the leader may serve users' reads from memory.
     pub fn may_serve_reads(&self, now: Time) -> bool {
         self.bounds.is_none_or(|bounds| now < self.deadline_after(bounds.read_ms))
     }
 
-    /// Whether the term certainly stood at time `at`. A read made up to `at` may be relied on only then.
+    /// Returns `true` if the term was certainly in force at `at`. Conclusions from a read made at `at` or earlier are
+    /// valid only then.
     pub fn confirmed_since(&self, at: Time) -> bool {
         self.bounds.is_none() || self.confirmed_at >= at
     }
--- a/crates/leadership/src/lib.rs
+++ b/crates/leadership/src/lib.rs
@@ -1,18 +1,18 @@
-//! Leadership of shards: who leads which shard, when a failed leader is replaced before its lease has expired, and
-//! what the deposed and the new leader may do while both believe that they lead the shard.
+//! Shard leadership: the known leader of each shard, the replacement of a failed leader before its node lease expires,
+//! and the restrictions on the deposed and on the new leader while both believe that they lead the shard.
 //!
-//! - [`leader_lease`]: until when a leader may decide and serve reads, counted from when it last *sent* a leadership
-//!   check that was confirmed;
-//! - [`overlap`]: what a new leader holds back until the lease of the deposed leader has certainly ended;
+//! - [`leader_lease`]: the period in which a leader may decide and serve reads, counted from when its newest confirmed
+//!   leadership check was *sent*;
+//! - [`overlap`]: the writes that a new leader delays until the lease of the deposed leader has certainly ended;
 //! - [`membership`]: the table of live peers and of the leader and leadership term of each shard;
-//! - [`incarnation`]: identifies one run of a controller process;
-//! - [`failure_detector`]: decides from several kinds of evidence that a leader has failed, never from one alone;
+//! - [`incarnation`]: the identity of one run of a controller process;
+//! - [`failure_detector`]: decides from several kinds of evidence, never from one alone, that a leader has failed;
 //! - [`readiness`]: the conditions checked before the first decision of a term;
-//! - [`watch_cache`]: a replica of records, kept synced so that little is left to read at a failover;
-//! - [`cancellation`]: how long a task of a cancelled job can still be on a machine.
+//! - [`watch_cache`]: a replica of records, kept in sync so that little has to be read at a failover;
+//! - [`cancellation`]: the upper bound on how long a task of a cancelled job can remain on a machine.
 //!
-//! Nothing in this crate performs I/O or reads a clock. `docs/failover.md` lists the guarantees and what protects each
-//! of them during a failover; `tests/leadership_model.rs` checks every order of events of a small model.
+//! Nothing in this crate performs I/O or reads a clock. `docs/failover.md` lists the guarantees and the mechanism that
+//! protects each of them during a failover; `tests/leadership_model.rs` checks every order of events of a small model.
 
 #![warn(missing_docs)]
 
--- a/crates/leadership/src/membership.rs
+++ b/crates/leadership/src/membership.rs
@@ -1,5 +1,5 @@
-//! The membership table: which peers are alive, and which node leads which shard in which leadership term, as last
-//! read from the state service or heard from peers.
+//! The membership table: the live peers, and the leader and leadership term of each shard as last read from the state
+//! service or reported in a peer heartbeat.
 
 use crate::incarnation::NodeIncarnation;
 use crate::leader_lease::LeadershipBounds;
@@ -7,53 +7,53 @@
 use crowstall_model::time::{Span, Time};
 use std::collections::BTreeMap;
 
-/// A peer that has sent no heartbeat for this long counts as unreachable.
+/// Time after the newest heartbeat of a peer at which the peer counts as unreachable.
 pub const PEER_TIMEOUT: Span = Span::millis(1500);
-/// How long a false suspicion makes the failure detector more patient.
+/// Time for which a false suspicion raises the silence limit of the failure detector.
 const FALSE_SUSPICION_MEMORY: Span = Span::millis(60_000);
-/// A deposed leader that is heard this soon after its replacement was suspected falsely.
+/// Time after the replacement of a leader in which a heartbeat of the deposed leader proves the suspicion false.
 const FALSE_SUSPICION_WINDOW: Span = Span::millis(3_000);
 
 /// The state that a node reports in a peer heartbeat.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PeerStatus {
-    /// Distinguishes one run of the process from the next; 0 if unknown.
+    /// Incarnation number of the node's process; 0 if unknown.
     pub incarnation: u64,
-    /// Whether the node has a valid node lease.
+    /// `true` if the node has a valid node lease.
     pub holds_lease: bool,
-    /// Whether the node can lead a shard.
+    /// `true` if the node can lead a shard.
     pub ready: bool,
-    /// The shards that the node leads, with their terms.
+    /// Shards that the node leads, with their terms.
     pub led: Vec<(ShardId, Revision)>,
-    /// The newest term that the node knows of each shard.
+    /// Newest term of each shard that the node knows.
     pub known: Vec<(ShardId, Revision)>,
-    /// How long the state service has not answered the node.
+    /// Time since the state service last answered the node.
     pub state_silence: Span,
-    /// How long ago the node received a heartbeat of each of the other nodes.
+    /// Time since the node last received a heartbeat from each of the other nodes.
     pub peer_ages: Vec<(NodeLabel, Span)>,
-    /// The version of the messages that the node understands; 0 if unknown.
+    /// Newest version of the messages between controllers that the node understands; 0 if unknown.
     pub message_version: u32,
 }
 
-/// What is known of another controller.
+/// Newest heartbeat of another controller, with the time of its arrival.
 #[derive(Clone, Debug)]
 pub struct Peer {
-    /// When its newest heartbeat arrived.
+    /// Arrival time of the peer's newest heartbeat.
     pub seen: Time,
-    /// Since when the peer has been ready without interruption.
+    /// Time since which the peer has been ready without interruption; `None` if it is not ready.
     pub ready_since: Option<Time>,
-    /// The content of its newest heartbeat.
+    /// State that the peer reported in its newest heartbeat.
     pub peer_status: PeerStatus,
 }
 
 impl Peer {
-    /// Whether a heartbeat of the peer arrived recently.
+    /// Returns `true` if a heartbeat of the peer arrived within [`PEER_TIMEOUT`].
     pub fn is_reachable(&self, now: Time) -> bool {
         now.since(self.seen) < PEER_TIMEOUT
     }
 
-    /// Returns for how long the state service may not have answered the peer by now. Since its newest heartbeat the
-    /// peer is assumed to have had no answer.
+    /// Returns the longest time for which the state service may not have answered the peer by now, on the assumption
+    /// that the peer has received no answer since it sent its newest heartbeat.
     pub fn state_silence(&self, now: Time) -> Span {
         self.peer_status.state_silence + now.since(self.seen)
     }
@@ -63,45 +63,45 @@
     }
 }
 
-/// The newest known version of a leader's liveness record.
+/// Newest known version of a leader's liveness record.
 #[derive(Clone, Copy, Debug)]
 struct LivenessObservation {
     version: Revision,
-    /// When this node first saw that version.
+    /// Time at which this node first read that version.
     seen_at: Time,
 }
 
-/// What is known of the leadership of one shard.
+/// Newest known leader and leadership term of one shard.
 #[derive(Clone, Debug, Default)]
 pub struct ShardLeadership {
-    /// The leader, if there is one.
+    /// Leader of the shard; `None` if no leader is known.
     pub leader: Option<NodeLabel>,
-    /// The incarnation of the leader.
+    /// Incarnation number of the leader.
     pub incarnation: u64,
-    /// The bounds under which the leader may be replaced early; none if it may not, or if they are not known.
+    /// Bounds under which the leader may be replaced early; `None` if it may not be, or if the bounds are not known.
     pub bounds: Option<LeadershipBounds>,
-    /// The newest known leadership term.
+    /// Newest known leadership term; 0 if the shard is not known to have had a leader.
     pub term: Revision,
-    /// When this node first saw that term.
+    /// Time at which this node learned of that term.
     pub term_seen_at: Time,
-    /// Since when the shard has had no leadership record.
+    /// Time since which the shard has had no leadership record; `None` if it has one.
     pub absent_since: Option<Time>,
     /// Time at which this node last released its leadership of the shard.
     pub released_at: Option<Time>,
     /// Leader of the term before the current one; `None` once a heartbeat of that leader has arrived.
     deposed: Option<NodeIncarnation>,
-    /// When deposed leaders showed, soon after their replacement, that they were alive.
+    /// Times at which a deposed leader proved, soon after its replacement, that it was still alive.
     false_suspicion_times: Vec<Time>,
     liveness: Option<LivenessObservation>,
 }
 
 impl ShardLeadership {
-    /// Returns how many leaders were falsely suspected within the last minute.
+    /// Returns the number of false suspicions of the shard's leaders within the last minute.
     pub fn false_suspicions(&self, now: Time) -> u32 {
         self.false_suspicion_times.iter().filter(|at| now.since(**at) < FALSE_SUSPICION_MEMORY).count() as u32
     }
 
-    /// Records that the shard was led in `term`, and returns whether that term is newer than all known before.
+    /// Records that the shard was led in `term`. Returns `true` if no term as new as this one was known before.
     fn record_term(&mut self, term: Revision, now: Time) -> bool {
         self.absent_since = None;
         let is_newer = term > self.term;
@@ -120,7 +120,7 @@
         self.bounds = bounds;
     }
 
-    /// Counts a false suspicion if the heartbeat is one of the deposed leader's, soon after its replacement.
+    /// Records a false suspicion if a heartbeat comes from the deposed leader soon after its replacement.
     fn detect_false_suspicion(&mut self, node: &NodeLabel, incarnation: u64, now: Time) {
         let is_deposed =
             self.deposed.as_ref().is_some_and(|deposed| deposed.node == *node && deposed.incarnation == incarnation);
@@ -135,17 +135,17 @@
     }
 }
 
-/// A shard that has no leadership record.
+/// Observations of a shard that has no leadership record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MissingLeadership {
-    /// Since when the record has been missing.
+    /// Time since which the record has been missing.
     pub since: Time,
-    /// Whether any node is known to have led the shard before.
+    /// `true` if any node is known to have led the shard before.
     pub ever_led: bool,
 }
 
-/// The membership table. Peer heartbeats and reads of the shards' keys update it; the rest of the controller only
-/// reads it.
+/// Membership table of one node. It is updated by peer heartbeats and by reads of the shards' keys; the rest of the
+/// controller only reads it.
 #[derive(Debug)]
 pub struct Membership {
     this_node: NodeLabel,
@@ -155,37 +155,37 @@
 }
 
 impl Membership {
-    /// Creates an empty table. `zones` has the zone of every controller, this one included.
+    /// Creates an empty table. `zones` contains the zone of every controller, including this one.
     pub fn new(this_node: NodeLabel, zones: BTreeMap<NodeLabel, Name>, shards: usize) -> Membership {
         Membership { this_node, peers: BTreeMap::new(), zones, shards: vec![ShardLeadership::default(); shards] }
     }
 
-    /// Returns what is known of a peer, if a heartbeat of it ever arrived.
+    /// Returns the entry of a peer, or `None` if no heartbeat of it ever arrived.
     pub fn peer(&self, node: &NodeLabel) -> Option<&Peer> {
         self.peers.get(node)
     }
 
-    /// Returns all peers that were ever heard.
+    /// Returns all peers from which a heartbeat ever arrived.
     pub fn peers(&self) -> impl Iterator<Item = (&NodeLabel, &Peer)> {
         self.peers.iter()
     }
 
-    /// Returns the peers that were heard recently.
+    /// Returns the peers from which a heartbeat arrived within [`PEER_TIMEOUT`].
     pub fn reachable_peers(&self, now: Time) -> impl Iterator<Item = (&NodeLabel, &Peer)> {
         self.peers.iter().filter(move |(_, peer)| peer.is_reachable(now))
     }
 
-    /// Returns what is known of the leadership of a shard; none if there is no such shard.
+    /// Returns the known leadership of a shard, or `None` if there is no such shard.
     pub fn leadership(&self, shard: ShardId) -> Option<&ShardLeadership> {
         self.shards.get(shard.0 as usize)
     }
 
-    /// Returns the leader of a shard, as far as known.
+    /// Returns the leader of a shard, or `None` if no leader is known.
     pub fn leader_of(&self, shard: ShardId) -> Option<&NodeLabel> {
         self.leadership(shard)?.leader.as_ref()
     }
 
-    /// Returns the shards that a node leads, as far as known.
+    /// Returns the shards that a node is known to lead.
     pub fn shards_led_by<'a>(&'a self, node: &'a NodeLabel) -> impl Iterator<Item = (ShardId, &'a ShardLeadership)> {
         self.shard_leaderships().filter(move |(_, leadership)| leadership.leader.as_ref() == Some(node))
     }
@@ -196,7 +196,7 @@
         terms.filter(|(_, term)| term.0 > 0).collect()
     }
 
-    /// Records a heartbeat of another node.
+    /// Records a heartbeat from another node.
     pub fn record_heartbeat_from(&mut self, node: NodeLabel, peer_status: PeerStatus, now: Time) {
         let ready_since = match self.peers.get(&node) {
             Some(peer) if peer_status.ready && peer.is_reachable(now) => peer.ready_since.or(Some(now)),
@@ -205,7 +205,7 @@
         for &(shard, term) in &peer_status.led {
             let Some(leadership) = self.leadership_mut(shard) else { continue };
             if leadership.record_term(term, now) {
-                // The bounds are not part of a heartbeat: they are read from the leadership record.
+                // Heartbeats do not contain the bounds, which are read from the leadership record.
                 leadership.set_leader(node.clone(), peer_status.incarnation, None);
             }
         }
@@ -215,7 +215,7 @@
         self.peers.insert(node, Peer { seen: now, ready_since, peer_status });
     }
 
-    /// Records a shard's leadership record as it was read. It is ignored if a newer term is known.
+    /// Records the content of a shard's leadership record. The record is ignored if a newer term is known.
     pub fn record_leadership(
         &mut self,
         shard: ShardId,
@@ -232,7 +232,7 @@
         }
     }
 
-    /// Records that a shard has no leadership record; returns none if there is no such shard.
+    /// Records that a shard has no leadership record. Returns `None` if there is no such shard.
     pub fn record_missing_leadership(&mut self, shard: ShardId, now: Time) -> Option<MissingLeadership> {
         let leadership = self.leadership_mut(shard)?;
         leadership.leader = None;
@@ -240,7 +240,7 @@
         Some(MissingLeadership { since, ever_led: leadership.term.0 > 0 })
     }
 
-    /// Records that this node released a shard to another node.
+    /// Records that this node has released its leadership of a shard.
     pub fn record_release(&mut self, shard: ShardId, now: Time) {
         if let Some(leadership) = self.leadership_mut(shard) {
             leadership.leader = None;
@@ -248,7 +248,7 @@
         }
     }
 
-    /// Records a version of the liveness record of a shard's leader.
+    /// Records that a version of the liveness record of a shard's leader was read.
     pub fn record_liveness(&mut self, shard: ShardId, version: Revision, now: Time) {
         if let Some(leadership) = self.leadership_mut(shard)
             && leadership.liveness.is_none_or(|known| known.version < version)
@@ -262,8 +262,8 @@
         self.leadership(shard).and_then(|leadership| leadership.liveness).map_or(Revision(0), |known| known.version)
     }
 
-    /// Returns when a node last showed that it is alive: to this node, to a peer that this node hears, or by its
-    /// liveness record. Returns none if this node never heard it.
+    /// Returns the time of a node's last sign of life: a heartbeat to this node or to a reachable peer, or a write of
+    /// its liveness record. Returns `None` if no heartbeat of that node ever reached this node.
     pub fn last_alive(&self, node: &NodeLabel, now: Time) -> Option<Time> {
         let own_last_heartbeat = self.peers.get(node)?.seen;
         let other_peers = self.reachable_peers(now).filter(|(other, _)| *other != node);
@@ -276,7 +276,7 @@
         last_heartbeats_at_peers.chain(liveness_seen).chain([own_last_heartbeat]).max()
     }
 
-    /// Returns how long ago a heartbeat of each of the peers arrived.
+    /// Returns the time since the newest heartbeat of each of the peers arrived.
     pub fn peer_ages(&self, now: Time) -> Vec<(NodeLabel, Span)> {
         self.peers.iter().map(|(node, peer)| (node.clone(), now.since(peer.seen))).collect()
     }
@@ -292,10 +292,11 @@
         other_nodes.any(|node| !self.peers.get(node).is_some_and(is_connected))
     }
 
-    /// Returns this node's rank among the nodes that could replace a leader: how many come before it.
+    /// Returns this node's rank among the nodes that could replace a leader, which is the number of nodes before it.
     ///
-    /// Nodes in other zones than the leader's come first, then the nodes in the order of their labels, starting
-    /// after the leader's. Only nodes count that are reachable, ready, and connected to the state service.
+    /// Nodes in other zones than the leader's come first. Within both groups the nodes follow in the order of their
+    /// labels, starting after the leader's. Only nodes that are reachable, ready, and connected to the state service
+    /// are counted.
     pub fn rank(&self, leader: &NodeLabel, now: Time) -> u32 {
         let own_order = self.succession_order(leader, &self.this_node);
         let precedes_this_node = |(node, peer): &(&NodeLabel, &Peer)| {
@@ -304,8 +305,8 @@
         self.peers.iter().filter(precedes_this_node).count() as u32
     }
 
-    /// The sort key by which nodes replace a leader: nodes of other zones first, then by distance from the leader in
-    /// the ring of labels.
+    /// Returns the sort key of a node in the order in which nodes replace a leader: nodes of other zones first, then by
+    /// distance from the leader in the ring of labels.
     fn succession_order(&self, leader: &NodeLabel, node: &NodeLabel) -> (bool, usize) {
         let position = |label: &NodeLabel| self.zones.keys().position(|other| other == label).unwrap_or(0);
         let count = self.zones.len();
--- a/crates/leadership/src/overlap.rs
+++ b/crates/leadership/src/overlap.rs
@@ -1,46 +1,48 @@
-//! The leadership overlap: what a new leader holds back until the lease of the deposed leader has certainly ended.
+//! The leadership overlap: the period in which a new leader delays certain writes, until the lease of the deposed
+//! leader has certainly ended.
 
 use crate::incarnation::NodeIncarnation;
 use crate::leader_lease::LeadershipBounds;
 use crowstall_model::model::NodeLabel;
 use crowstall_model::time::{Span, Time};
 
-/// The time in which a deposed leader may not know yet that it was replaced.
+/// Period in which a deposed leader may not know yet that it was replaced.
 ///
-/// Meanwhile the deposed leader may start tasks on the machines that it reaches, which fencing tokens and the records
-/// make harmless, and it may serve reads from memory. Therefore an end that the deposed leader does not know of must
-/// not be recorded before that leader has certainly stopped serving reads, and a cancellation not before the last
-/// worker lease that it may renew can expire in time.
+/// During the overlap the deposed leader may start tasks on the machines that it reaches, which fencing tokens and the
+/// records make harmless, and it may serve reads from memory. Therefore a job's end that the deposed leader does not
+/// know of must not be recorded before that leader has certainly stopped serving reads. A cancellation must not be
+/// recorded before it is certain that the last worker lease that the deposed leader may renew expires in time.
 #[derive(Clone, Debug)]
 pub struct LeadershipOverlap {
     since: Time,
     bounds: LeadershipBounds,
-    /// None if the replacement was made by a former leader, which is not known here.
+    /// The deposed leader; `None` if a former leader made the replacement, because it is not known then.
     deposed: Option<NodeIncarnation>,
-    /// The deposed leader has shown that it knows of its replacement.
+    /// `true` once the deposed leader has reported that it knows of its replacement.
     ended_early: bool,
 }
 
 impl LeadershipOverlap {
     /// Creates the overlap with a deposed leader that acted under `bounds`.
     ///
-    /// `since` is no earlier than the moment of the replacement. `deposed` is the deposed leader, if known.
+    /// `since` must not be earlier than the replacement. `deposed` is the deposed leader, if known.
     pub fn new(since: Time, bounds: LeadershipBounds, deposed: Option<NodeIncarnation>) -> LeadershipOverlap {
         LeadershipOverlap { since, bounds, deposed, ended_early: false }
     }
 
-    /// Whether no deposed leader can serve a read any more that a recorded completion would contradict.
+    /// Returns `true` if a completion may be recorded: no deposed leader can serve a read any more that contradicts it.
     pub fn may_record_done(&self, now: Time) -> bool {
         self.has_passed(now, self.bounds.read_ms)
     }
 
-    /// Whether no deposed leader renews worker leases under its leader lease any more. The grace period that always
-    /// follows a leader lease is not included.
+    /// Returns `true` if a cancellation may be recorded: no deposed leader renews worker leases under its leader lease
+    /// any more. The grace period that always follows a leader lease is not included.
     pub fn may_record_cancelled(&self, now: Time) -> bool {
         self.is_over(now)
     }
 
-    /// Whether the leader lease of the deposed leader has certainly ended, so that it decides nothing any more.
+    /// Returns `true` if the leader lease of the deposed leader has certainly ended, so that it makes no more
+    /// decisions.
     pub fn is_over(&self, now: Time) -> bool {
         self.has_passed(now, self.bounds.decision_ms)
     }
@@ -50,8 +52,8 @@
         Span::millis(self.bounds.decision_ms).stretched()
     }
 
-    /// Records that a node knows of a term at least as new as the one that replaced the deposed leader, and returns
-    /// whether this ends the overlap.
+    /// Records a heartbeat of a node that knows of a term at least as new as the one that replaced the deposed leader.
+    /// Returns `true` if the heartbeat ends the overlap.
     ///
     /// The overlap ends if the node is the deposed leader, which can never return to an older term. A different
     /// incarnation of the same label counts only if `one_process_per_label` is set: two processes with the same label
--- a/crates/leadership/src/readiness.rs
+++ b/crates/leadership/src/readiness.rs
@@ -1,21 +1,22 @@
-//! The readiness checklist: what a new leader checks before its first decision, and when each check was passed.
+//! The readiness checklist: the conditions that a new leader checks before its first decision.
 
 use crowstall_model::time::{Span, Time};
 use std::fmt;
 
-/// A leader lease that ends sooner than this is renewed before the first decision.
+/// Minimum remaining time of the node lease and of the leader lease at the first decision. A lease that ends sooner is
+/// renewed first.
 const MIN_LEASE_LEFT: Span = Span::millis(300);
-/// After a longer pause than this the leadership is checked again before the first decision.
+/// Pause of this process from which on leadership is checked again before the first decision.
 const MAX_PAUSE: Span = Span::millis(1000);
 
-/// One condition on the checklist.
+/// Condition on the readiness checklist.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Check {
-    /// The term stood after all records had been read, so they include all writes of former leaders.
+    /// The term was in force after all records had been read, so the records include all writes of former leaders.
     LeadershipConfirmed,
-    /// The leader lease is valid for some more time.
+    /// The node lease and the leader lease remain valid for at least 300 ms.
     LeaderLease,
-    /// This process has not been paused since it acquired the leadership.
+    /// No pause of this process has lasted 1000 ms or longer since it requested leadership.
     NoLongPause,
     /// All former leaders applied the same team quotas as this node.
     SameTeamQuotas,
@@ -27,8 +28,8 @@
     [Check::LeadershipConfirmed, Check::LeaderLease, Check::NoLongPause, Check::SameTeamQuotas, Check::Catalog];
 
 impl Check {
-    /// Whether nothing may be decided until the check is passed. The other checks only restrict some decisions, and
-    /// the code that makes those decisions takes them into account.
+    /// Returns `true` if no decision may be made until the check is passed. The other checks restrict only some
+    /// decisions, and the code that makes those decisions takes them into account.
     pub fn is_required(self) -> bool {
         matches!(self, Check::LeadershipConfirmed | Check::LeaderLease | Check::NoLongPause)
     }
@@ -56,14 +57,14 @@
     }
 }
 
-/// What is known when the checks are made.
+/// Inputs of the checks.
 #[derive(Clone, Copy, Debug)]
 pub struct ReadinessFacts {
-    /// Whether a leadership check sent after the last read has confirmed the term.
+    /// `true` if a leadership check sent after the last read has confirmed the term.
     pub leadership_confirmed: bool,
-    /// How much longer the leader lease is valid.
+    /// Remaining validity of the node lease or of the leader lease, whichever ends first.
     pub lease_left: Span,
-    /// The longest pause between two ticks since the leadership was acquired.
+    /// Longest pause between two ticks since leadership was requested.
     pub longest_pause: Span,
     /// `true` if all former leaders applied the same team quotas as this node.
     pub same_quotas: bool,
@@ -71,11 +72,11 @@
     pub catalog_known: bool,
 }
 
-/// The checklist of one leadership term.
+/// Readiness checklist of one leadership term.
 #[derive(Clone, Debug)]
 pub struct ReadinessChecklist {
     acquired_at: Time,
-    /// Since when each check, by its discriminant, has been passed.
+    /// Time since which each check has been passed, indexed by the check's discriminant; `None` if it is not passed.
     passed_at: [Option<Time>; ALL_CHECKS.len()],
 }
 
--- a/crates/leadership/src/watch_cache.rs
+++ b/crates/leadership/src/watch_cache.rs
@@ -1,77 +1,80 @@
-//! The watch cache: a replica of the records under one prefix of the state service.
+//! The watch cache: a replica of the records under one key prefix of the state service.
 //!
-//! The records are first listed page by page; from then on changes are taken from the watch of the state service. No
-//! decision is based on the replica before it is synced up to the leadership term that is to be served.
+//! The records are first listed page by page. After that, changes are received through the watch of the state service.
+//! No decision is based on the replica before it is synced at least up to the leadership term that is to be served.
 
 use crowstall_model::model::Revision;
 use crowstall_model::time::{Span, Time};
 use std::collections::BTreeMap;
 
-/// How long to wait after the first failure; doubled with every further failure.
+/// Retry delay after the first failure, which is doubled with every further failure.
 const MIN_RETRY_DELAY: Span = Span::millis(500);
-/// The longest time to wait after a failure.
+/// Maximum retry delay after a failure.
 const MAX_RETRY_DELAY: Span = Span::millis(16_000);
-/// The time between two pages, so that a long listing does not delay other requests.
+/// Time between the requests for two pages, so that a long listing does not delay other requests.
 const PAGE_INTERVAL: Span = Span::millis(100);
 
-/// The next request to the state service.
+/// Request of a watch cache to the state service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WatchRequest {
-    /// The next page of the listing.
+    /// Reads the next page of the listing.
     List {
-        /// The last key of the previous page; none for the first page.
+        /// Last key of the previous page; `None` for the first page.
         after: Option<String>,
     },
-    /// All changes after a revision.
+    /// Reads all changes after a revision.
     Watch {
-        /// The revision up to which all changes are known.
+        /// Revision up to which all changes are known.
         after: Revision,
     },
 }
 
-/// A change of one key.
+/// Change of one key.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WatchChange<R> {
-    /// The key was written, at that revision and with that record.
+    /// Write of a key: the key, the revision of the write, and the record written.
     Set(String, Revision, R),
-    /// The key was deleted, at that revision.
+    /// Deletion of a key: the key and the revision of the deletion.
     Delete(String, Revision),
 }
 
-/// What the replica has cost so far.
+/// Number of requests and records that a watch cache has used so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WatchCacheStatistics {
     /// Number of requests sent.
     pub requests: u64,
-    /// Records and changes received.
+    /// Number of records and changes received.
     pub records: u64,
-    /// How many times the replica was discarded and listed again.
+    /// Number of times that the replica was discarded in order to be listed again.
     pub restarts: u64,
 }
 
+/// Progress of a replica.
 #[derive(Clone, Debug, PartialEq)]
 enum Phase {
+    /// The replica is empty and sends no requests.
     Stopped,
-    /// Pages are being read.
+    /// Pages of the listing are being read.
     Listing {
-        /// The revision of the first page. The watch starts there, since later pages may be newer.
+        /// Revision of the first page, at which the watch starts because later pages may be newer. `None` until the
+        /// first page has been read.
         first_revision: Option<Revision>,
-        /// The last key of the previous page.
+        /// Last key of the previous page; `None` for the first page.
         after: Option<String>,
     },
-    /// All changes up to this revision are in the replica.
+    /// The replica contains all changes up to this revision.
     Synced(Revision),
 }
 
-/// A replica of the records of type `R` under one prefix.
+/// Replica of the records of type `R` under one key prefix.
 #[derive(Debug)]
 pub struct WatchCache<R> {
     phase: Phase,
     records: BTreeMap<String, (Revision, R)>,
-    /// The replica is discarded rather than kept with more records than this.
+    /// Maximum number of records. A replica that exceeds it is discarded.
     max_records: usize,
     watch_interval: Span,
-    /// A request is waiting for its answer. At most one is at a time.
+    /// `true` while a request waits for its answer. At most one request is in flight at a time.
     in_flight: bool,
     next_request_at: Time,
     retry_delay: Span,
@@ -79,7 +82,7 @@
 }
 
 impl<R> WatchCache<R> {
-    /// Creates a cache that asks for changes every `watch_interval` and keeps at most `max_records` records.
+    /// Creates a stopped cache that requests changes every `watch_interval` and keeps at most `max_records` records.
     pub fn new(watch_interval: Span, max_records: usize) -> WatchCache<R> {
         WatchCache {
             phase: Phase::Stopped,
@@ -93,21 +96,21 @@
         }
     }
 
-    /// Starts the listing if the cache is stopped and no retry delay is running.
+    /// Starts the listing if the cache is stopped and no retry delay is in progress.
     pub fn start(&mut self, now: Time) {
         if self.phase == Phase::Stopped && now >= self.next_request_at {
             self.phase = Phase::Listing { first_revision: None, after: None };
         }
     }
 
-    /// Stops and discards all records. The answer to a request in flight will be ignored.
+    /// Stops the cache and discards all records. The answer to a request in flight will be ignored.
     pub fn stop(&mut self) {
         self.phase = Phase::Stopped;
         self.in_flight = false;
         self.records = BTreeMap::new();
     }
 
-    /// Returns the request to send now, if one is due. With `at_once` the interval between requests is ignored.
+    /// Returns the request to send now, if one is due. If `at_once` is set, the interval between requests is ignored.
     pub fn next_request(&mut self, now: Time, at_once: bool) -> Option<WatchRequest> {
         let is_due = at_once || now >= self.next_request_at;
         if self.in_flight || !is_due {
@@ -123,7 +126,7 @@
         Some(request)
     }
 
-    /// Takes in a page of the listing, as it stood at `revision`. `more` tells whether further pages follow.
+    /// Adds a page of the listing, read at `revision`. `more` is `true` if further pages follow.
     pub fn listed(&mut self, entries: Vec<(String, Revision, R)>, more: bool, revision: Revision, now: Time) {
         let Phase::Listing { first_revision, .. } = &self.phase else { return };
         if !std::mem::take(&mut self.in_flight) {
@@ -140,7 +143,7 @@
                 self.next_request_at = now + PAGE_INTERVAL;
             }
             _ => {
-                // The changes made while the pages were read are asked for at once.
+                // Changes made while the pages were being read are requested at once.
                 self.phase = Phase::Synced(first_revision);
                 self.next_request_at = now;
             }
@@ -148,7 +151,7 @@
         self.enforce_max_records(now);
     }
 
-    /// Takes in all changes from the revision that was asked for up to `revision`.
+    /// Applies all changes from the requested revision up to `revision`.
     pub fn changed(&mut self, changes: Vec<WatchChange<R>>, revision: Revision, now: Time) {
         let Phase::Synced(synced_revision) = self.phase else { return };
         if !std::mem::take(&mut self.in_flight) {
@@ -165,22 +168,24 @@
         self.enforce_max_records(now);
     }
 
-    /// Records that the state service has compacted the changes that were asked for. All records are listed again,
-    /// with a longer delay each time.
+    /// Records that the state service has compacted the requested changes. All records are listed again, after a delay
+    /// that increases with every failure.
     pub fn compacted(&mut self, now: Time) {
         if std::mem::take(&mut self.in_flight) {
             self.restart(now);
         }
     }
 
-    /// Records that a request was refused or not answered. It is retried, with a longer delay each time.
+    /// Records that a request was refused or not answered. The request is retried after a delay that increases with
+    /// every failure.
     pub fn failed(&mut self, now: Time) {
         if std::mem::take(&mut self.in_flight) {
             self.back_off(now);
         }
     }
 
-    /// Returns the revision up to which all changes are in the replica; none while the records are being listed.
+    /// Returns the revision up to which the replica contains all changes, or `None` while the cache is stopped or the
+    /// records are being listed.
     pub fn synced_revision(&self) -> Option<Revision> {
         match self.phase {
             Phase::Synced(synced_revision) => Some(synced_revision),
@@ -188,17 +193,17 @@
         }
     }
 
-    /// Returns all records with their keys and versions, in the order of the keys.
+    /// Returns all records with their keys and versions, sorted by key.
     pub fn records(&self) -> impl Iterator<Item = (&String, Revision, &R)> {
         self.records.iter().map(|(key, (version, record))| (key, *version, record))
     }
 
-    /// Returns how many records are in the replica.
+    /// Returns the number of records in the replica.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether the replica has no records.
+    /// Returns `true` if the replica contains no records.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
@@ -208,7 +213,7 @@
         self.statistics
     }
 
-    /// Applies a change unless the replica already has a newer version of the key, from a page that was read after
+    /// Applies a change unless the replica already contains a newer version of the key, from a page that was read after
     /// the change was made.
     fn apply(&mut self, change: WatchChange<R>) {
         match change {
--- a/crates/leadership/tests/cancellation.rs
+++ b/crates/leadership/tests/cancellation.rs
@@ -1,13 +1,13 @@
-//! The bound on how long tasks of a cancelled job remain on machines.
+//! Tests of the bound on how long tasks of a cancelled job remain on machines.
 
 use crowstall_leadership::{CancellationBounds, LeaseSource};
 use crowstall_model::time::Span;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// Whatever the settings: a former leader that renews its last worker lease at the end of its grace period leaves no
-/// task on a machine for longer than a cancellation may take, with both clocks at the limits of their drift and the
-/// worker a second late.
+/// Checks for random settings that the cancellation bound is kept if a former leader renews its last worker lease at
+/// the end of its grace period, both clocks are at the limits of their drift, and the worker notices the expiry of its
+/// lease a second late.
 #[test]
 fn grace_period_and_worker_lease_fit_into_the_cancellation_bound() {
     let mut rng = SmallRng::seed_from_u64(31);
@@ -21,7 +21,8 @@
             continue;
         }
         checked += 1;
-        // The leader lease ends just when the user is told; the clocks of the former leader and of the worker are slow.
+        // The leader lease ends at the moment when the user is informed; the clocks of the former leader and of the
+        // worker are slow.
         let slow = 1.0 / 0.9995;
         let last_renewal = bounds.grace().as_secs() * slow;
         let gone = last_renewal + worker_lease.as_secs() * slow + 1.0;
--- a/crates/leadership/tests/failure_detector.rs
+++ b/crates/leadership/tests/failure_detector.rs
@@ -1,5 +1,5 @@
-//! Seeded random runs of a leader and of a node that watches it. A leader that gives any sign of life is never
-//! replaced; one that gives none is, in bounded time; and a node that is itself in trouble replaces no leader.
+//! Seeded random runs of a leader and of a node that monitors it. A leader that gives any sign of life is never
+//! replaced, a leader that gives none is replaced within a bounded time, and an unhealthy node replaces no leader.
 
 use crowstall_leadership::failure_detector::{
     FailureAction, FailureDetector, FailureEvidence, LeaderObservation, SelfHealth,
@@ -16,10 +16,10 @@
 const FAULT_AT: Time = Time(START.0 + Span::millis(10_000).0);
 const RUN_LENGTH: Span = Span::millis(40_000);
 
-/// What happens to the leader or to the node that watches it, from the tenth second on.
+/// Fault of the leader or of the node that monitors it, from the tenth second on.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
-    /// Nothing, but some heartbeats are lost or late.
+    /// No fault except that some heartbeats are lost or late.
     None,
     /// The leader is silent and answers no probe.
     LeaderDown,
@@ -35,11 +35,11 @@
     LeaderLosesState,
 }
 
-/// One run: the leader, the network and the watching node.
+/// Simulation of the leader, the network and the monitoring node.
 struct Run {
     rng: SmallRng,
     fault: Fault,
-    /// Whether the fault had begun when the present tick was due.
+    /// `true` if the fault had begun when the current tick was due.
     is_faulty: bool,
     detector: FailureDetector,
     health: SelfHealth,
@@ -70,7 +70,8 @@
         }
     }
 
-    /// Returns how long after the fault the leader is replaced, and why, if it is within 30 s.
+    /// Returns the time from the fault to the replacement of the leader, and the evidence, or `None` if the leader is
+    /// not replaced within 30 s.
     fn time_to_fence(mut self) -> Option<(Span, FailureEvidence)> {
         while self.now.since(START) < RUN_LENGTH {
             self.tick();
@@ -107,7 +108,7 @@
 
     fn deliver_heartbeat(&mut self) {
         let arrives = !self.is_faulty || matches!(self.fault, Fault::None | Fault::LeaderLosesState);
-        // None are lost right before a fault, so that the time until the replacement can be bounded.
+        // No heartbeat is lost shortly before a fault, so that the time until the replacement can be bounded.
         let may_be_lost = self.fault == Fault::None || self.now + Span::millis(1500) < FAULT_AT;
         if !arrives || (may_be_lost && self.rng.random_bool(0.05)) {
             return;
@@ -118,7 +119,7 @@
         self.detector.record_heartbeat(self.now);
     }
 
-    /// The liveness record is written every 900 ms and read up to 300 ms later.
+    /// Reads the liveness record, which is written every 900 ms and read up to 300 ms later.
     fn read_liveness_record(&mut self) {
         if self.has(Fault::WritesLiveness)
             && self.now.since(self.last_alive) >= Span::millis(900 + self.rng.random_range(0..300))
--- a/crates/leadership/tests/leader_lease.rs
+++ b/crates/leadership/tests/leader_lease.rs
@@ -1,4 +1,4 @@
-//! The leader lease of a deposed leader and the leadership overlap of its successor.
+//! Tests of the leader lease of a deposed leader and of the leadership overlap of its successor.
 
 use crowstall_leadership::{LeaderLease, LeadershipBounds, LeadershipOverlap, NodeIncarnation};
 use crowstall_model::model::NodeLabel;
@@ -10,8 +10,8 @@
     NodeLabel::new(&format!("node-{node}"))
 }
 
-/// However both clocks drift within the promised bound: the deposed leader has stopped serving reads and deciding
-/// before the new leader records what would contradict it.
+/// For any clock drift within the guaranteed bound, the deposed leader has stopped serving reads and making decisions
+/// before the new leader records an end that would contradict them.
 #[test]
 fn the_lease_of_a_deposed_leader_ends_before_the_overlap_under_any_clock_drift() {
     let mut rng = SmallRng::seed_from_u64(1);
@@ -20,7 +20,7 @@
             LeadershipBounds { decision_ms: rng.random_range(2000..60_000), read_ms: rng.random_range(500..2000) };
         let (old_rate, new_rate): (f64, f64) = (rng.random_range(0.99975..1.00025), rng.random_range(0.99975..1.00025));
         let check_sent_at = rng.random_range(0..1_000_000_000u64);
-        // The leadership check was confirmed, then the leader replaced, and then the new leader learned of that.
+        // The leadership check is confirmed, then the leader is replaced, and then the new leader learns of it.
         let replaced_at = check_sent_at + rng.random_range(0..2_000_000);
         let learned_at = replaced_at + rng.random_range(0..2_000_000);
         let old_clock = |at: u64| Time((at as f64 * old_rate) as u64);
--- a/crates/leadership/tests/leadership_model.rs
+++ b/crates/leadership/tests/leadership_model.rs
@@ -1,13 +1,13 @@
-//! A breadth-first model check of a failover: every order of events with one task, two machines, a leader, the leader
-//! that replaces it, and a user.
+//! Model check of a failover: visits every order of events with one task, two machines, a leader, the leader that
+//! replaces it, and a user.
 //!
-//! The old leader may be paused at any step, since no rule of the model makes it act while time passes, and its
+//! The old leader may be paused at any step, because the model never forces it to act while time passes, and its
 //! leadership checks may be answered late or never. The states are enumerated by the breadth-first search of
 //! `pathfinding`; no package made for model checking was available.
 //!
-//! Times are in steps, which stand for the real times in their order: a leader serves reads for `READ_BOUND` and
-//! decides for `DECISION_BOUND` after a leadership check that confirmed its term, renews worker leases for `GRACE`
-//! more, and a worker lease lasts `WORKER_LEASE`.
+//! Times are measured in steps, which preserve the order of the real durations: a leader serves reads for `READ_BOUND`
+//! and makes decisions for `DECISION_BOUND` after a leadership check that confirmed its term, renews worker leases for
+//! `GRACE` more, and a worker lease lasts `WORKER_LEASE`.
 
 use pathfinding::directed::bfs::bfs_reach;
 
@@ -15,43 +15,48 @@
 const DECISION_BOUND: u8 = 2;
 const GRACE: u8 = 1;
 const WORKER_LEASE: u8 = 2;
-/// How long a task may run after its user was told that the job is cancelled.
+/// Maximum time for which a task may run after its user was informed that the job is cancelled.
 const CANCELLATION_BOUND: u8 = GRACE + WORKER_LEASE;
-/// The last step of the plain failover.
+/// Last step of [`Scenario::Failover`].
 const END: u8 = 6;
-/// The last step of the other scenarios. They have more states, and their disabled guards are detected earlier.
+/// Last step of the other scenarios, which have more states and in which disabled guards are detected earlier.
 const OTHER_SCENARIOS_END: u8 = 5;
 
-/// The indices of the two leaders in `Machine::last_answered`.
+/// Index of the old leader in [`Machine::last_answered`].
 const OLD_LEADER: usize = 0;
+/// Index of the new leader in [`Machine::last_answered`].
 const NEW_LEADER: usize = 1;
 
-/// A condition that protects the rules. Each is disabled once, to check that the search finds what it prevents.
+/// Condition that protects the rules. Each guard is disabled once, to check that the search finds the violation that it
+/// prevents.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Guard {
-    /// A completion is recorded only when no former leader serves older reads any more.
+    /// A completion is recorded only once no former leader serves older reads any more.
     DoneWaits,
-    /// A cancellation is recorded only when no former leader renews worker leases under its leader lease any more.
+    /// A cancellation is recorded only once no former leader renews worker leases under its leader lease any more.
     CancelWaits,
     /// A worker lease counts as expired only if a leadership check sent after its end has confirmed the term.
     ExpiryConfirmed,
-    /// The same for a machine whose deletion the cloud confirmed.
+    /// A machine deletion that the cloud confirmed takes effect only if a leadership check sent after it has confirmed
+    /// the term.
     DeletionConfirmed,
-    /// The same for a job that was found in the records.
+    /// A job read from the records is adopted only if a leadership check sent after the read has confirmed the term.
     RecordConfirmed,
-    /// A worker lease of an unreconciled machine counts as renewed by the old leader until its grace period has ended.
+    /// The worker lease of an unreconciled machine counts as renewed by the old leader until the end of that leader's
+    /// grace period.
     UnreconciledLeaseWaits,
-    /// A task that may run on an unreconciled machine is not started.
+    /// A task that may still run on an unreconciled machine is not started elsewhere.
     UnreconciledTaskWaits,
-    /// A task whose cancellation was requested is stopped before the cancellation is known to be recorded.
+    /// A task whose cancellation was requested is stopped even before the cancellation is known to be recorded.
     RequestedCancelStops,
-    /// A leader that releases its shard decides nothing and serves no reads from then on.
+    /// A leader that has requested the release of its shard makes no decisions and serves no reads from then on.
     ReleaseStopsDecisions,
-    /// A leader that releases its shard renews worker leases only for its grace period from then on.
+    /// A leader that has requested the release of its shard renews worker leases only for its grace period from then
+    /// on.
     ReleaseStartsGrace,
 }
 
-/// The guards that are in force: all but the disabled one.
+/// Guards that are in force: all except the disabled one.
 #[derive(Clone, Copy, Debug)]
 struct Guards {
     disabled: Option<Guard>,
@@ -63,38 +68,38 @@
     }
 }
 
-/// What the old leader does besides its usual work. One of these at a time, or there would be too many states.
+/// Additional operation of the old leader. Only one is modelled at a time, to limit the number of states.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Scenario {
-    /// Nothing else.
+    /// No additional operation.
     Failover,
-    /// A user whom only the old leader serves requests the cancellation of the job; whether that has happened. The
-    /// leader's write may be executed at any later time, and the leader never has an answer to it.
+    /// A user whom only the old leader serves requests the cancellation of the job; `true` once the request was made.
+    /// The leader's write may be executed at any later time, and the leader never receives an answer to it.
     CancelRequest(bool),
-    /// The old leader requests the deletion of its leadership record, at that time, and has no answer. Then any node
-    /// may acquire the leadership without waiting.
+    /// The old leader requests the deletion of its leadership record at this time and receives no answer. After that
+    /// any node may acquire leadership without waiting. `None` until the request is sent.
     Release(Option<u8>),
 }
 
-/// What a leader knows of the task.
+/// Knowledge of a leader about the task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum TaskView {
     /// The leader does not know the job.
     Unknown,
-    /// The job's record was read; a leadership check sent at that time or later was sent after the read.
+    /// The job's record was read. Leadership checks sent at this time or later were sent after the read.
     RecordRead(u8),
     /// The task may be started.
     Pending,
-    /// The task was started on, or found on, that machine.
+    /// The task was started on or found on the machine with this index.
     RunningOn(u8),
-    /// The machine was deleted or its lease expired; a leadership check sent at that time or later was sent after it.
+    /// The machine was deleted or its lease expired. Leadership checks sent at this time or later were sent after that.
     Lost(u8),
     /// The task may run on an unreconciled machine.
     Unreconciled,
     Done,
 }
 
-/// The record of the job in the state service.
+/// State of the job's record in the state service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Record {
     Absent,
@@ -103,54 +108,57 @@
     Cancelled,
 }
 
+/// Machine with its worker. The tasks of the worker end when its worker lease expires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Machine {
     exists: bool,
-    /// It has seen the fencing token of the new leader, and executes no commands of the old one any more.
+    /// `true` once the worker has received the fencing token of the new leader, after which it executes no commands of
+    /// the old leader.
     knows_new_token: bool,
     worker_lease_end: u8,
     runs_task: bool,
-    /// It has completed the task and still reports that.
+    /// `true` while the worker reports that it has completed the task.
     reports_done: bool,
-    /// When each of the two leaders last answered a heartbeat of the machine.
+    /// Times at which the old and the new leader last answered a heartbeat of the machine.
     last_answered: [u8; 2],
 }
 
-/// A leadership check of the old leader.
+/// Progress of a leadership check of the old leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum LeadershipCheck {
     /// The state service has not processed the check yet.
     Sent { at: u8 },
-    /// The check found the term in force; the answer is on its way.
+    /// The check found the term in force, and the answer is in transit.
     Confirmed { sent_at: u8 },
-    /// The check found a newer term; the answer is on its way.
+    /// The check found a newer term, and the answer is in transit.
     Refuted { sent_at: u8 },
 }
 
-/// The first final state that the user was told of.
+/// First final state that was reported to the user.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct FinalAnswer {
     state: Record,
     at: u8,
 }
 
+/// State of the modelled system.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct State {
     now: u8,
     machines: [Machine; 2],
     record: Record,
-    /// When the new leader acquired the leadership.
+    /// Time at which the new leader acquired leadership.
     replaced_at: Option<u8>,
-    /// The old leader knows that it was deposed, or can never act again.
+    /// `true` once the old leader knows that it was deposed, or can never act again.
     old_stepped_down: bool,
-    /// When the old leader's newest confirmed leadership check was sent.
+    /// Time at which the old leader's newest confirmed leadership check was sent.
     confirmed_at: u8,
     check: Option<LeadershipCheck>,
     old_view: TaskView,
     new_view: TaskView,
     final_answer: Option<FinalAnswer>,
     scenario: Scenario,
-    /// The shard had no leader when the new leader acquired it, so that it waits for no overlap.
+    /// `true` if the shard had no leader when the new leader acquired it, so that the new leader waits for no overlap.
     was_released: bool,
     is_violated: bool,
 }
@@ -165,15 +173,16 @@
 };
 
 impl Machine {
-    /// When the worker lease ends as far as the leader knows that answered the machine's heartbeats.
+    /// Returns the end of the worker lease as known to a leader that has answered the machine's heartbeats.
     fn known_lease_end(&self, leader: usize) -> u8 {
         self.last_answered[leader] + WORKER_LEASE
     }
 }
 
-/// The state of the system and its rules.
+/// Rules and steps of the whole system.
 impl State {
-    /// A task that runs on the first machine, or a job that only the new leader will accept.
+    /// Returns the initial state: a task runs on the first machine, or, unless `is_accepted`, only the new leader will
+    /// accept the job.
     fn initial(is_accepted: bool, scenario: Scenario) -> State {
         State {
             now: 0,
@@ -220,7 +229,7 @@
         self.old_may_decide(guards) && self.now < self.confirmed_at + READ_BOUND
     }
 
-    /// The old leader's term was confirmed by a check sent at that time or later.
+    /// Returns `true` if the old leader's term was confirmed by a check sent at `at` or later.
     fn confirmed_since(&self, at: u8) -> bool {
         self.confirmed_at >= at
     }
@@ -253,13 +262,13 @@
             }
         }
         if let Some(FinalAnswer { state: Record::Cancelled, at }) = self.final_answer {
-            // Rule: a task must not run for too long after its user was told that the job is cancelled.
+            // Rule: a task must not run beyond the bound after its user was informed that the job is cancelled.
             self.is_violated |= now >= at + CANCELLATION_BOUND && self.machines.iter().any(|machine| machine.runs_task);
         }
         self
     }
 
-    /// Returns the states that can follow by one event.
+    /// Returns the states that can follow by one event. A state that violates a rule has no successors.
     fn successors(&self, guards: Guards) -> Vec<State> {
         if self.is_violated {
             return Vec::new();
@@ -278,7 +287,8 @@
         next.into_iter().map(State::normalized).filter(|state| state != self).collect()
     }
 
-    /// The new leader acquires the leadership at any time: the version of the leadership record is the only condition.
+    /// Adds the acquisition by the new leader, which is possible at any time: the version of the leadership record is
+    /// the only condition.
     fn acquisition_steps(&self, next: &mut Vec<State>) {
         let new_view = if self.record == Record::Live { TaskView::Unreconciled } else { TaskView::Unknown };
         next.push(State { replaced_at: Some(self.now), new_view, ..*self });
@@ -287,7 +297,7 @@
         }
     }
 
-    /// A machine completes the task.
+    /// Adds the completion of the task by a machine.
     fn completion_steps(&self, next: &mut Vec<State>) {
         for (index, machine) in self.machines.iter().enumerate() {
             if machine.runs_task {
@@ -298,8 +308,8 @@
         }
     }
 
-    /// Returns the same state without values that no later step depends on, so that states that differ only in those
-    /// are counted once.
+    /// Returns the state without values on which no later step depends, so that states that differ only in those values
+    /// are visited once.
     fn normalized(mut self) -> State {
         let now = self.now;
         self.old_stepped_down |= self.replaced_at.is_some_and(|at| now >= at + DECISION_BOUND + GRACE);
@@ -324,9 +334,9 @@
     }
 }
 
-/// The steps of the old leader.
+/// Steps of the old leader.
 impl State {
-    /// A leadership check is sent, processed, answered or lost.
+    /// Adds the steps of a leadership check, which is sent, processed, answered or lost.
     fn leadership_check_steps(&self, next: &mut Vec<State>) {
         let lost = State { check: None, ..*self };
         match self.check {
@@ -371,8 +381,8 @@
         }
     }
 
-    /// The old leader answers a machine's heartbeat: the lease is renewed, a completion is read and a task may be
-    /// started, all in one answer.
+    /// Adds the old leader's answer to a machine's heartbeat, which renews the worker lease, accepts a completion and
+    /// may start a task.
     fn old_leader_heartbeat_steps(&self, index: usize, guards: Guards, next: &mut Vec<State>) {
         let machine = self.machines[index];
         if !machine.exists || machine.knows_new_token || !self.old_may_renew_worker_leases(guards) {
@@ -393,7 +403,7 @@
         }
     }
 
-    /// The old leader finds the lease of the task's machine expired, or has the machine deleted.
+    /// Adds the steps by which the old leader finds the lease of the task's machine expired or deletes the machine.
     fn old_leader_loss_steps(&self, index: usize, guards: Guards, next: &mut Vec<State>) {
         let machine = self.machines[index];
         if self.old_view != TaskView::RunningOn(index as u8) || !self.old_may_decide(guards) {
@@ -410,7 +420,7 @@
         }
     }
 
-    /// The cancellation is requested, or the old leader begins to release the shard.
+    /// Adds the request for the cancellation, or the old leader's request to release the shard.
     fn scenario_steps(&self, next: &mut Vec<State>) {
         match self.scenario {
             Scenario::CancelRequest(false) if self.old_view != TaskView::Done => {
@@ -444,7 +454,7 @@
     }
 }
 
-/// The steps of the new leader.
+/// Steps of the new leader.
 impl State {
     fn new_leader_steps(&self, replaced_at: u8, guards: Guards, next: &mut Vec<State>) {
         for machine in 0..self.machines.len() {
@@ -458,7 +468,7 @@
         self.new_leader_record_steps(replaced_at, guards, next);
     }
 
-    /// The new leader hears a machine under its own token, by a direct question or a heartbeat.
+    /// Adds the contact of the new leader with a machine under its own fencing token, by a direct call or a heartbeat.
     fn new_leader_heartbeat_steps(&self, index: usize, next: &mut Vec<State>) {
         let machine = self.machines[index];
         if !machine.exists {
@@ -479,8 +489,8 @@
         }
     }
 
-    /// Returns the new leader's view after a machine has told what runs there. `self` is the state after that, and
-    /// `reported` the machine as it was before.
+    /// Returns the new leader's view after a machine has reported its tasks. `self` is the state after the report, and
+    /// `reported` is the machine before it.
     fn view_after_reconciling(&self, index: usize, reported: Machine) -> TaskView {
         match self.new_view {
             TaskView::Unreconciled if reported.runs_task => TaskView::RunningOn(index as u8),
@@ -490,13 +500,13 @@
             {
                 TaskView::Pending
             }
-            // A task that was started or found there, and is not there any more.
+            // The task was started or found on this machine and does not run there any more.
             TaskView::RunningOn(on) if on == index as u8 && !reported.runs_task => TaskView::Pending,
             other => other,
         }
     }
 
-    /// Another machine takes the place of a deleted one, registered in the new term.
+    /// Adds the replacement of a deleted machine by another one, which is registered in the new term.
     fn new_leader_replacement_steps(&self, index: usize, next: &mut Vec<State>) {
         if self.machines[index].exists || self.new_view == TaskView::RunningOn(index as u8) {
             return;
@@ -511,7 +521,7 @@
         next.push(state);
     }
 
-    /// The new leader finds the worker lease of a machine expired.
+    /// Adds the step by which the new leader finds the worker lease of a machine expired.
     fn new_leader_expiry_steps(&self, index: usize, replaced_at: u8, guards: Guards, next: &mut Vec<State>) {
         let machine = self.machines[index];
         let lease_end = match (machine.knows_new_token, guards.enforce(Guard::UnreconciledLeaseWaits)) {
@@ -531,7 +541,7 @@
         }
     }
 
-    /// The new leader accepts the job, records its end, or tells the user of it.
+    /// Adds the steps by which the new leader accepts the job, records its end, or reports its state to the user.
     fn new_leader_record_steps(&self, replaced_at: u8, guards: Guards, next: &mut Vec<State>) {
         let has_passed = |bound: u8| self.was_released || self.now >= replaced_at + bound;
         match self.record {
@@ -542,26 +552,26 @@
                     next.push(State { record: Record::Done, ..*self });
                 }
                 if has_passed(DECISION_BOUND) || !guards.enforce(Guard::CancelWaits) {
-                    // No task of the job is started from here on, and those that are known are stopped.
+                    // No task of the job is started from now on, and known tasks are stopped.
                     next.push(State { record: Record::Cancelled, new_view: TaskView::Done, ..*self });
                 }
                 if matches!(self.new_view, TaskView::Pending | TaskView::RunningOn(_) | TaskView::Unreconciled) {
                     next.push(self.answer_user(Record::Live));
                 }
             }
-            // It does not matter which node reads a final record.
+            // Every node may report a final record.
             Record::Done | Record::Cancelled => next.push(self.answer_user(self.record)),
         }
     }
 }
 
-/// What a search has found.
+/// Number of states that a search has visited, and the first that violates a rule.
 struct SearchResult {
     states: usize,
     violation: Option<State>,
 }
 
-/// Visits all states that can follow `initial`, up to the first that violates a rule.
+/// Visits all states that can follow `initial`, until the first that violates a rule.
 fn search(initial: State, guards: Guards) -> SearchResult {
     let mut states = 0;
     for state in bfs_reach(initial, |state| state.successors(guards)) {
@@ -585,13 +595,13 @@
     ] {
         let SearchResult { states, violation } = search(State::initial(is_accepted, scenario), guards);
         let job = if is_accepted { "accepted" } else { "not known" };
-        assert_eq!(violation, None, "{scenario:?}, the job is {job} at the start");
-        println!("{scenario:?}: {states} states");
+        assert_eq!(violation, None, "a rule is violated in {scenario:?}, where the job is {job} at the start");
+        println!("{scenario:?}: {states} states visited");
         all += states;
     }
-    println!("{all} states");
-    // A search that stops early would prove nothing.
-    assert!(all > 100_000, "only {all} states");
+    println!("{all} states visited in total");
+    // Too few states would mean that the search has stopped early and proves nothing.
+    assert!(all > 100_000, "only {all} states were visited");
 }
 
 #[test]
@@ -610,7 +620,7 @@
     ] {
         let SearchResult { states, violation } =
             search(State::initial(is_accepted, scenario), Guards { disabled: Some(guard) });
-        println!("{guard:?}: found after {states} states");
-        assert!(violation.is_some(), "no rule is violated without {guard:?}");
+        println!("{guard:?} disabled: {states} states visited");
+        assert!(violation.is_some(), "no rule is violated with {guard:?} disabled");
     }
 }
--- a/crates/leadership/tests/membership.rs
+++ b/crates/leadership/tests/membership.rs
@@ -1,4 +1,5 @@
-//! Seeded random heartbeats and reads of leadership records that reach five membership tables late and out of order.
+//! Seeded random runs in which heartbeats and reads of leadership records reach five membership tables late and out of
+//! order.
 
 use crowstall_leadership::{Membership, PeerStatus};
 use crowstall_model::model::{Name, NodeLabel, Revision, ShardId};
@@ -14,7 +15,7 @@
     NodeLabel::new(&format!("node-{node}"))
 }
 
-/// The tables of five nodes in two zones: even ones in the first, odd ones in the second.
+/// Returns the tables of five nodes in two zones: even nodes are in the first zone, odd nodes in the second.
 fn tables() -> Vec<Membership> {
     let zone = |node: usize| (label(node), Name::new(["east", "west"][node % 2]));
     let zones: BTreeMap<NodeLabel, Name> = (0..NODES).map(zone).collect();
@@ -25,7 +26,8 @@
     table.leadership(SHARD).map(|leadership| leadership.term)
 }
 
-/// A heartbeat of `from`, which also heard the next node `age` ago, reaches a table.
+/// Delivers a heartbeat of `from` to a table. The heartbeat reports that `from` received one from the next node `age`
+/// ago.
 fn deliver_heartbeat(table: &mut Membership, from: usize, incarnation: u64, term: Revision, age: Span, now: Time) {
     let third_node = label((from + 1) % NODES);
     let peer_status = PeerStatus {
@@ -41,8 +43,8 @@
     }
 }
 
-/// Every node hears every other one. Then each of the other nodes has a rank of its own for replacing any leader,
-/// and the first is in another zone.
+/// Delivers heartbeats between all nodes, and asserts that the other nodes have distinct ranks for replacing each
+/// leader and that the first of them is in another zone.
 fn assert_ranks_are_distinct(tables: &mut [Membership], incarnation: u64, now: Time, seed: u64) {
     for (node, table) in tables.iter_mut().enumerate() {
         for from in (0..NODES).filter(|from| *from != node) {
@@ -74,7 +76,7 @@
                 newest_term = Revision(newest_term.0 + 1);
                 incarnation += 1;
             }
-            // Reads and heartbeats come late and out of order.
+            // Reads and heartbeats arrive late and out of order.
             let term = Revision(newest_term.0.saturating_sub(rng.random_range(0..4)));
             let before = known_term(&tables[to]);
             if rng.random_bool(0.5) {
@@ -84,7 +86,7 @@
                 deliver_heartbeat(&mut tables[to], from, incarnation, term, age, now);
             }
             let after = known_term(&tables[to]);
-            assert!(after >= before, "seed {seed}: the known term fell from {before:?} to {after:?}");
+            assert!(after >= before, "seed {seed}: the known term decreased from {before:?} to {after:?}");
         }
         assert_ranks_are_distinct(&mut tables, incarnation, now, seed);
     }
--- a/crates/leadership/tests/readiness.rs
+++ b/crates/leadership/tests/readiness.rs
@@ -1,4 +1,4 @@
-//! The readiness checklist of a new leader.
+//! Tests of the readiness checklist of a new leader.
 
 use crowstall_leadership::{Check, ReadinessChecklist, ReadinessFacts};
 use crowstall_model::time::{Span, Time};
--- a/crates/leadership/tests/watch_cache.rs
+++ b/crates/leadership/tests/watch_cache.rs
@@ -1,5 +1,5 @@
-//! A watch cache against a simulated state service: pages read at different revisions, changes between two pages,
-//! lost answers, compacted changes and a lagging replica of the service.
+//! Tests of a watch cache against a simulated state service with pages read at different revisions, changes between two
+//! pages, lost answers, compacted changes and a lagging replica of the service.
 
 use crowstall_leadership::{WatchCache, WatchChange, WatchRequest};
 use crowstall_model::model::Revision;
@@ -10,14 +10,14 @@
 
 const PAGE_SIZE: usize = 3;
 
-/// Keys with the revision at which each was last written, and its value.
+/// Keys with the revision of their last write and their value.
 type Keys = BTreeMap<String, (u64, u32)>;
 
-/// One change in the history of the state service.
+/// Change in the history of the state service.
 struct LoggedChange {
     revision: u64,
     key: String,
-    /// None if the key was deleted.
+    /// Value that was written; `None` if the key was deleted.
     value: Option<u32>,
 }
 
@@ -30,13 +30,13 @@
     }
 }
 
-/// The state service as its protocol describes it.
+/// Simulated state service that follows the protocol of the real one.
 #[derive(Default)]
 struct Service {
     keys: Keys,
     log: Vec<LoggedChange>,
     revision: u64,
-    /// Changes before this revision cannot be watched any more.
+    /// Revision before which changes cannot be watched any more.
     compacted_until: u64,
 }
 
@@ -50,7 +50,7 @@
         self.log.push(change);
     }
 
-    /// Returns a page of the keys after one, and whether more follow.
+    /// Returns the page of keys after `after`, and `true` if further pages follow.
     fn list(&self, after: Option<&String>) -> (Vec<(String, Revision, u32)>, bool) {
         let following = self.keys.iter().filter(|(key, _)| after.is_none_or(|after| *key > after));
         let entries: Vec<_> =
@@ -68,7 +68,7 @@
             .collect()
     }
 
-    /// Returns the keys as they stood at a revision.
+    /// Returns all keys as of a revision.
     fn keys_at(&self, revision: u64) -> Keys {
         let mut keys = Keys::new();
         for change in self.log.iter().filter(|change| change.revision <= revision) {
@@ -82,14 +82,14 @@
     }
 }
 
-/// A cache and the service that it replicates.
+/// Simulation of a cache and of the service that it replicates.
 struct Run {
     seed: u64,
     rng: SmallRng,
     service: Service,
     cache: WatchCache<u32>,
     now: Time,
-    /// The newest synced revision since the last listing.
+    /// Newest synced revision since the last listing.
     newest_synced: Revision,
     synced_checks: u32,
     compactions: u32,
@@ -129,7 +129,7 @@
     }
 
     fn answer(&mut self, request: WatchRequest) {
-        // An answer may be older than the state of the service when it arrives.
+        // The service may have changed between an answer and its arrival.
         let lag = self.rng.random_range(0..3);
         match request {
             _ if self.rng.random_bool(0.1) => self.cache.failed(self.now),
@@ -151,7 +151,8 @@
         }
     }
 
-    /// A synced replica differs from the service at the synced revision only in keys that have changed since.
+    /// Asserts that a synced replica differs from the service at the synced revision only in keys that have changed
+    /// since.
     fn check_replica(&mut self) {
         let seed = self.seed;
         let Some(synced_revision) = self.cache.synced_revision() else {
@@ -167,7 +168,7 @@
             let is_same = expected.get(key) == Some(&(*revision, *value));
             assert!(
                 is_same || *revision > synced_revision.0,
-                "seed {seed}: {key} is {value} of {revision}, synced to {synced_revision}"
+                "seed {seed}: {key} has value {value} of revision {revision} in a replica synced to {synced_revision}"
             );
         }
         let missing = expected.keys().find(|key| !replica.contains_key(*key));
