--- a/src/coordination/confirmation.rs
+++ b/src/coordination/confirmation.rs
@@ -1,7 +1,7 @@
-//! Confirms that this node's leadership terms still stand, and defers answers until they are confirmed.
+//! Confirmation of this node's leadership terms, and the answers that are deferred until their term is confirmed.
 //!
-//! What was read or confirmed under a term counts only once the term was seen to stand after that: by then the shard
-//! may have another leader, and what the records say may be that leader's.
+//! An answer received under a term is used only after a later request has confirmed that the term was still in force.
+//! Otherwise the shard might already have had another leader, and the records that were read might be that leader's.
 
 use super::controller::Controller;
 use super::leadership::LeadershipOperation;
@@ -18,7 +18,7 @@
 use crate::time::Time;
 use std::collections::HashSet;
 
-/// An answer that counts only once its term was seen to stand after the answer had come.
+/// Answer that is used only after a leadership check sent later has confirmed its term.
 struct DeferredAnswer {
     leadership: LeadershipTerm,
     /// Arrival time of the answer.
@@ -26,24 +26,24 @@
     call: DeferredCall,
 }
 
-/// The call whose answer is deferred, and the answer.
+/// Call whose answer is deferred, with the answer.
 enum DeferredCall {
-    /// A read at the state service, and when it was sent.
+    /// Read from the state service. `sent` is the time at which it was sent.
     State { sent: Time, operation: StateOperation, answer: StateResult },
-    /// A deletion that the cloud has confirmed.
+    /// Deletion of a machine that the cloud has confirmed.
     Cloud { operation: CloudOperation, answer: Result<CloudAnswer, CallError> },
 }
 
-/// The leadership checks in flight, and the answers that wait for one.
+/// Leadership checks in flight, and the answers that wait for one.
 #[derive(Default)]
 pub(super) struct Confirmation {
     deferred: Vec<DeferredAnswer>,
-    /// The shards whose key is being read to see whether the term still stands.
+    /// Shards with a leadership check in flight, which reads the key of the shard.
     checks_in_flight: HashSet<ShardId>,
 }
 
 impl Confirmation {
-    /// Whether a check may begin now. It counts as in flight from here on.
+    /// Marks a check as in flight and returns `true`, unless one is in flight already.
     fn begin_check(&mut self, shard: ShardId) -> bool {
         self.checks_in_flight.insert(shard)
     }
@@ -60,8 +60,9 @@
         self.deferred.iter().any(|deferred| deferred.leadership.shard == shard)
     }
 
-    /// Takes out the answers that count or do not matter any more now that a term was seen to stand when a check was
-    /// sent: those that came before, and those of other terms.
+    /// Removes and returns the answers that need no further confirmation after a check sent at `sent` has confirmed a
+    /// term: those of this term that had arrived when the check was sent, which may now be used, and those of the
+    /// shard's other terms, which have no effect any more.
     fn take_confirmed(&mut self, leadership: LeadershipTerm, sent: Time) -> Vec<DeferredAnswer> {
         self.take(|deferred| {
             deferred.leadership.shard == leadership.shard
@@ -69,7 +70,7 @@
         })
     }
 
-    /// Takes out all answers for a shard.
+    /// Removes and returns all deferred answers for a shard.
     fn take_all(&mut self, shard: ShardId) -> Vec<DeferredAnswer> {
         self.take(|deferred| deferred.leadership.shard == shard)
     }
@@ -82,14 +83,14 @@
 }
 
 impl Controller {
-    /// Confirms the term on which a transaction was conditional, if the transaction was committed.
+    /// Confirms the term that was a condition of a transaction, if the transaction was committed.
     pub(super) fn confirm_by_commit(&mut self, sent: Time, operation: &StateOperation, answer: &StateResult) {
         if let (Ok(StateAnswer::Committed(_)), Some(leadership)) = (answer, operation.leadership_condition()) {
             self.leadership_confirmed(leadership, sent);
         }
     }
 
-    /// Defers an answer of the state service that counts only while a term stands, unless the term is confirmed.
+    /// Defers an answer of the state service that is valid only while a term is in force, unless the term is confirmed.
     /// Returns the answer if it is not deferred.
     pub(super) fn defer_unconfirmed(
         &mut self,
@@ -110,8 +111,8 @@
         }
     }
 
-    /// Defers a deletion that the cloud has confirmed, until it is certain that this node may still draw conclusions
-    /// from it: otherwise two nodes might start anew what ran on the machine. Returns the answer if it is not deferred.
+    /// Defers the confirmed deletion of a machine until the term is confirmed. Without this, a deposed and a new leader
+    /// might both start the tasks of that machine again. Returns the answer if it is not deferred.
     pub(super) fn defer_unconfirmed_deletion(
         &mut self,
         operation: CloudOperation,
@@ -126,10 +127,10 @@
         }
     }
 
-    /// The leadership term under which an entry was read, if what the entry says counts only while that term stands.
+    /// Returns the leadership term under which an entry was read, or `None` if the entry is valid without a term.
     fn read_term(&self, operation: &StateOperation, entry: &Entry) -> Option<LeadershipTerm> {
         match operation {
-            // A job that is found live in a shard that this node leads may be adopted there.
+            // This node may adopt a live job that belongs to a shard that it leads.
             operation if operation.is_job_lookup() && entry.key.starts_with(keys::LIVE) => {
                 let shard = entry.value.get("home").or_else(|| entry.value.get("shard"))?.as_u64()?;
                 let shard = self.shards.get(&ShardId(shard as u32))?;
@@ -139,9 +140,9 @@
         }
     }
 
-    /// Whether what is read at this moment counts at once: either this node leads the shard and cannot have been
-    /// replaced without having noticed, or it does not lead the shard in that term any more, which is checked by
-    /// the component that handles the answer.
+    /// Returns `true` if an answer that arrives now needs no deferral: either this node leads the shard and cannot have
+    /// been replaced unnoticed, or it does not lead the shard in that term any more, which the component that handles
+    /// the answer checks.
     fn is_confirmed_now(&mut self, leadership: LeadershipTerm) -> bool {
         let now = self.now;
         self.shard_in_term(leadership).is_none_or(|shard| shard.leadership.leader_lease.confirmed_since(now))
@@ -152,14 +153,15 @@
         self.check_leadership(leadership.shard);
     }
 
-    /// Checks leadership of the shards for which answers are deferred.
+    /// Sends a leadership check for each shard with deferred answers.
     pub(super) fn check_leadership_for_deferred(&mut self) {
         for shard in self.confirmation.shards_with_deferred() {
             self.check_leadership(shard);
         }
     }
 
-    /// Reads the key of a shard to see whether this node's term still stands, unless that is being done already.
+    /// Sends a leadership check, which reads the key of a shard to find out if this node's term is still in force,
+    /// unless one is in flight already.
     pub(super) fn check_leadership(&mut self, shard: ShardId) {
         let Some(leadership) = self.shards.get(&shard).map(Shard::leadership_term) else { return };
         if self.confirmation.begin_check(shard) {
@@ -168,7 +170,7 @@
         }
     }
 
-    /// Confirms the term that was checked, or steps down if there is a newer one.
+    /// Processes the answer to a leadership check: confirms the term, or steps down if there is a newer one.
     pub(super) fn leadership_checked(&mut self, leadership: LeadershipTerm, sent: Time, answer: StateResult) {
         self.confirmation.check_answered(leadership.shard);
         match answer {
@@ -180,8 +182,8 @@
         }
     }
 
-    /// Extends the leader lease: the term of a shard stood when a request that was sent at the given time was
-    /// answered.
+    /// Renews the leader lease after a request sent at `sent` has confirmed the term of a shard, and resumes the
+    /// deferred answers that had arrived by then. Starts to serve the shard if it is ready.
     pub(super) fn leadership_confirmed(&mut self, leadership: LeadershipTerm, sent: Time) {
         let id = leadership.shard;
         let Some(shard) = self.shard_in_term(leadership) else { return };
@@ -189,14 +191,14 @@
         let confirmed = self.confirmation.take_confirmed(leadership, sent);
         self.resume_deferred(confirmed);
         self.begin_serving(id);
-        // What is left came after the check had been sent.
+        // The remaining answers arrived after the check had been sent.
         if self.confirmation.has_deferred(id) {
             self.check_leadership(id);
         }
     }
 
-    /// Completes the answers that were deferred for a shard that this node does not lead any more. They are handled
-    /// as by any node that does not lead the shard.
+    /// Completes the answers that were deferred for a shard that this node does not lead any more. They are handled as
+    /// by any other node that does not lead the shard.
     pub(super) fn resume_deferred_after_loss(&mut self, id: ShardId) {
         let deferred = self.confirmation.take_all(id);
         self.resume_deferred(deferred);
--- a/src/coordination/directory.rs
+++ b/src/coordination/directory.rs
@@ -1,13 +1,14 @@
-//! Which shards jobs and machines belong to, and how jobs have ended, as far as this controller knows.
+//! Caches of the shards to which jobs and machines belong, and of the final records of jobs.
 
 use crate::model::{JobId, MachineId, ShardId};
 use crate::storage::records::EndRecord;
 use std::collections::{HashMap, VecDeque};
 
-/// How many jobs or machines each table of shards may name before it is cleared. It fills again by itself.
+/// Maximum number of jobs or machines in each table of shards. A table that exceeds it is cleared and fills again with
+/// later lookups.
 const MAX_SHARD_ENTRIES: usize = 20_000;
 
-/// Caches that answer without asking the state service. Nothing depends on an entry being there.
+/// Caches that save reads from the state service. Correctness does not depend on the presence of any entry.
 pub(super) struct Directory {
     ended: EndedJobs,
     job_shards: HashMap<JobId, ShardId>,
@@ -15,62 +16,62 @@
 }
 
 impl Directory {
-    /// An empty directory that remembers at most `max_ended` ended jobs.
+    /// Creates an empty directory that keeps the final records of at most `max_ended` jobs.
     pub fn new(max_ended: usize) -> Directory {
         Directory { ended: EndedJobs::new(max_ended), job_shards: HashMap::new(), machine_shards: HashMap::new() }
     }
 
-    /// How a job has ended, if that is known here.
+    /// Returns the final record of a job, if it is cached.
     pub fn end_of(&self, job: &JobId) -> Option<&EndRecord> {
         self.ended.records.get(job)
     }
 
-    /// Whether a job is known here to have ended.
+    /// Returns `true` if the final record of a job is cached.
     pub fn has_ended(&self, job: &JobId) -> bool {
         self.ended.records.contains_key(job)
     }
 
-    /// Remembers how a job has ended. Its final record must be durable.
+    /// Caches the final record of a job. The record must be durable at the state service already.
     pub fn record_end(&mut self, job: JobId, end: EndRecord) {
         self.ended.insert(job, end);
     }
 
-    /// The shard that a live job belongs to, if that is known here.
+    /// Returns the shard to which a live job belongs, if it is cached.
     pub fn job_shard(&self, job: &JobId) -> Option<ShardId> {
         self.job_shards.get(job).copied()
     }
 
-    /// Remembers the shard of a job.
+    /// Caches the shard of a job.
     pub fn set_job_shard(&mut self, job: JobId, shard: ShardId) {
         self.job_shards.insert(job, shard);
     }
 
-    /// Forgets the shard of a job.
+    /// Removes the cached shard of a job.
     pub fn forget_job_shard(&mut self, job: &JobId) {
         self.job_shards.remove(job);
     }
 
-    /// The shard that a machine belongs to, if that is known here.
+    /// Returns the shard to which a machine belongs, if it is cached.
     pub fn machine_shard(&self, machine: &MachineId) -> Option<ShardId> {
         self.machine_shards.get(machine).copied()
     }
 
-    /// Remembers the shard of a machine.
+    /// Caches the shard of a machine.
     pub fn set_machine_shard(&mut self, machine: MachineId, shard: ShardId) {
         self.machine_shards.insert(machine, shard);
     }
 
-    /// Remembers the shard of a machine unless another one is known.
+    /// Caches the shard of a machine unless one is cached already.
     pub fn set_machine_shard_if_unknown(&mut self, machine: MachineId, shard: ShardId) {
         self.machine_shards.entry(machine).or_insert(shard);
     }
 
-    /// Forgets the shard of a machine.
+    /// Removes the cached shard of a machine.
     pub fn forget_machine_shard(&mut self, machine: &MachineId) {
         self.machine_shards.remove(machine);
     }
 
-    /// Clears the tables of shards that have grown too large.
+    /// Clears each table of shards that has more than the maximum number of entries.
     pub fn trim(&mut self) {
         if self.job_shards.len() > MAX_SHARD_ENTRIES {
             self.job_shards.clear();
@@ -81,10 +82,10 @@
     }
 }
 
-/// The jobs that ended last. The ends of older ones are read from the state service.
+/// Final records of the jobs that ended last. Those of older jobs are read from the state service.
 struct EndedJobs {
     records: HashMap<JobId, EndRecord>,
-    /// The same jobs in the order in which their ends became known.
+    /// Jobs with a cached record, in the order in which this node learned of their ends.
     oldest_first: VecDeque<JobId>,
     capacity: usize,
 }
--- a/src/coordination/leadership/acquisition.rs
+++ b/src/coordination/leadership/acquisition.rs
@@ -1,4 +1,4 @@
-//! Acquires leadership of a shard.
+//! Acquisition of leadership of a shard.
 
 use super::operation::{AcquisitionContext, InheritedOverlap, LeadershipOperation};
 use super::previous_terms::PreviousTerm;
@@ -12,25 +12,26 @@
 use crate::time::Time;
 use crowstall_leadership::{LeadershipBounds, NodeIncarnation};
 
-/// Why leadership of a shard is acquired.
+/// Reason for an acquisition of leadership.
 pub(super) enum AcquisitionReason {
     /// The shard has no leader.
     Vacant,
-    /// The present term is this process's own: the answer to an acquisition or a release of it was lost.
+    /// The current term belongs to this process, but the answer to its acquisition or release was lost.
     OwnOutcomeUnknown,
-    /// The present term is of an earlier incarnation of this node.
+    /// The current term belongs to an earlier incarnation of this node.
     OwnFormerIncarnation,
     /// The leader has failed and is replaced before its node lease expires.
     Fencing(FencedLeader),
 }
 
-/// A leader that is replaced before its node lease expires.
+/// Leader that is replaced before its node lease expires.
 pub(super) struct FencedLeader {
-    /// The process that leads the shard.
+    /// Process that leads the shard.
     pub leader: NodeIncarnation,
-    /// How long it may go on after it was replaced.
+    /// Bounds on how long that process may continue to act after its replacement.
     pub bounds: LeadershipBounds,
-    /// Require that its liveness records are those last seen: the acquisition fails if it has written one since.
+    /// Conditions that the versions of its liveness records are those last read, so that the acquisition fails if the
+    /// leader has written one since.
     pub liveness_conditions: Vec<Condition>,
 }
 
@@ -43,8 +44,8 @@
     }
 }
 
-/// For how long deposed leaders may go on: the one that is fenced now, and those that the record of previous terms
-/// still names.
+/// Returns the longest bounds of the deposed leaders that may still act: the leader that is fenced now, and those from
+/// an overlap that the previous-term record still contains.
 fn inherited_bounds(fenced: Option<&FencedLeader>, previous: &PreviousTermRecord) -> Option<LeadershipBounds> {
     match (fenced, previous.overlap) {
         (Some(fenced), Some(previous_bounds)) => Some(fenced.bounds.max(previous_bounds)),
@@ -54,7 +55,8 @@
 }
 
 impl Controller {
-    /// Acquires leadership of a shard whose key has the given version, unless this node may acquire nothing now.
+    /// Requests leadership of a shard whose key has the given version, unless this node has no valid lease or is in its
+    /// acquisition backoff.
     pub(super) fn acquire_leadership(&mut self, id: ShardId, version: Revision, reason: AcquisitionReason) {
         if !self.holds_lease() || self.backs_off_acquisition() {
             return;
@@ -62,7 +64,7 @@
         let Some(lease) = self.leadership.node_lease.id() else { return };
         let previous = self.leadership.previous_terms.get(id).cloned().unwrap_or_default();
         let context = self.acquisition_context(&previous.record, &reason);
-        // From here on pauses of this process count: it may be deposed during one.
+        // Pauses of this process are measured from here on, because it may be deposed during one.
         self.leadership.pauses.reset();
         let request = StateCall::Commit {
             conditions: acquisition_conditions(id, version, previous.version, reason),
@@ -82,7 +84,8 @@
         }
     }
 
-    /// The record of this node as the leader, and the record of what this term leaves to the next one.
+    /// Returns the writes of an acquisition: the leadership record of this node, and the previous-term record that the
+    /// next leader will read.
     fn acquisition_changes(
         &self,
         id: ShardId,
@@ -106,8 +109,8 @@
         ]
     }
 
-    /// Begins to load the shard if leadership was acquired under the present node lease. If another node was quicker,
-    /// or if the answer was lost, the next poll of the leaders shows it.
+    /// Starts to load the shard if leadership was acquired under the current node lease. If another node acquired it
+    /// first, or if the answer was lost, the next poll of the leadership records shows the outcome.
     pub(super) fn acquisition_answered(
         &mut self,
         id: ShardId,
@@ -123,19 +126,19 @@
         }
     }
 
-    /// The shards whose leadership this node is acquiring or releasing.
+    /// Returns the shards for which an acquisition or a release by this node is in flight.
     pub(super) fn leadership_changes_in_flight(&self) -> impl Iterator<Item = ShardId> {
         self.calls.state_operations().filter_map(|operation| operation.shard_changing_leadership())
     }
 
-    /// Whether this node is acquiring or releasing leadership of a shard.
+    /// Returns `true` if an acquisition or a release of the shard by this node is in flight.
     pub(super) fn is_changing_leadership(&self, id: ShardId) -> bool {
         self.leadership_changes_in_flight().any(|shard| shard == id)
     }
 }
 
-/// What must hold for an acquisition to succeed: neither the leader nor what the previous leaders went by has changed,
-/// and a leader that is fenced has not shown that it lives.
+/// Returns the conditions of an acquisition: neither the leadership record nor the previous-term record has changed,
+/// and a leader that is fenced has not written a liveness record since.
 fn acquisition_conditions(
     id: ShardId,
     version: Revision,
--- a/src/coordination/leadership/failure_detection.rs
+++ b/src/coordination/leadership/failure_detection.rs
@@ -1,4 +1,4 @@
-//! Decides that a leader has failed, probes it, and fences it: its terms are replaced before its node lease expires.
+//! Detection and fencing of failed leaders, whose terms are replaced before their node lease expires.
 
 use super::acquisition::{AcquisitionReason, FencedLeader};
 use crate::config::Properties;
@@ -13,28 +13,28 @@
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddrV4;
 
-/// For how long what a heartbeat says of the state service counts.
+/// Time for which the report of a heartbeat about the state service is taken into account.
 const STATE_SILENCE_VALIDITY: Span = Span::millis(800);
 
-/// How long a leader may be silent before it counts as failed.
+/// Limits of the silence after which a leader counts as failed.
 struct SilenceTimeout {
     min: Span,
     max: Span,
 }
 
-/// What this node knows of whether the other leaders and itself are well.
+/// Health of this node and failure detectors of the other leaders.
 pub(super) struct FailureDetection {
     silence_timeout: SilenceTimeout,
     self_health: SelfHealth,
     detectors: BTreeMap<NodeLabel, FailureDetector>,
-    /// The probes in flight, by the node that is probed.
+    /// Probes in flight, with the node that is probed by each.
     probes: HashMap<OutboundCallId, NodeLabel>,
     /// Addresses at which the leaders listen for users and workers, from their leadership records. Probes use them too.
     probe_addresses: BTreeMap<NodeLabel, SocketAddrV4>,
 }
 
 impl FailureDetection {
-    /// No peer was heard yet.
+    /// Creates the state before any heartbeat of a peer has arrived.
     pub fn new(properties: &Properties) -> FailureDetection {
         let min = properties.standby.leader_timeout;
         FailureDetection {
@@ -46,22 +46,22 @@
         }
     }
 
-    /// Records that this process is running.
+    /// Records a tick of this process.
     pub fn ticked(&mut self, now: Time) {
         self.self_health.ticked(now);
     }
 
-    /// Records that the state service has answered this node.
+    /// Records an answer of the state service to this node.
     pub fn state_answered(&mut self, now: Time) {
         self.self_health.state_answered(now);
     }
 
-    /// How long the state service has not answered this node.
+    /// Returns the time since the state service last answered this node.
     pub fn state_silence(&self, now: Time) -> Span {
         self.self_health.state_silence(now)
     }
 
-    /// Records a heartbeat of a peer.
+    /// Records a heartbeat from a peer.
     pub fn record_heartbeat(&mut self, node: &NodeLabel, now: Time) {
         let SilenceTimeout { min, max } = self.silence_timeout;
         let detector = self.detectors.entry(node.clone()).or_insert_with(|| FailureDetector::new(min, max));
@@ -83,7 +83,7 @@
         }
     }
 
-    /// What is to be done about a leader that was observed.
+    /// Returns the action that is due for an observed leader.
     fn next_action(&mut self, node: &NodeLabel, now: Time, observation: &LeaderObservation) -> FailureAction {
         match self.detectors.get_mut(node) {
             Some(detector) => detector.step(now, observation, &self.self_health),
@@ -98,7 +98,7 @@
         self.leadership.failure_detection.probe_answered(call, alive);
     }
 
-    /// Checks whether a leader has failed, and fences it if so.
+    /// Checks the leaders of all shards, and probes or fences those that seem to have failed.
     pub(super) fn check_leaders(&mut self) {
         if !self.holds_lease() || self.backs_off_acquisition() {
             return;
@@ -128,7 +128,7 @@
         }
     }
 
-    /// What is known of the leader of the given shards. None if no heartbeat of it was ever received.
+    /// Returns the observations of the leader of the given shards, or `None` if no heartbeat of it ever arrived.
     fn observe_leader(&self, node: &NodeLabel, led_shards: &[ShardId]) -> Option<LeaderObservation> {
         let now = self.now;
         let terms = led_shards.iter().filter_map(|shard| self.membership.leadership(*shard));
@@ -142,33 +142,33 @@
         })
     }
 
-    /// Asks a leader directly whether it lives, at the address at which users and workers reach it.
+    /// Sends a liveness probe to a leader, at the address at which it listens for users and workers.
     fn probe(&mut self, node: &NodeLabel) {
         let call = self.calls.next_call_id();
         match self.leadership.failure_detection.probe_addresses.get(node).copied() {
             Some(addr) => {
-                log::debug!("probing {node}");
+                log::debug!("leader {node}: sending a liveness probe to {addr}");
                 self.leadership.failure_detection.probes.insert(call, node.clone());
                 self.calls.push(Action::Probe { call, addr });
             }
-            // The probe counts as unanswered once the failure detector's time for an answer is over.
-            None => log::debug!("{node} cannot be probed: its address is not known"),
+            // The failure detector counts the probe as unanswered after its probe timeout.
+            None => log::debug!("leader {node}: its address is not known; the liveness probe counts as unanswered"),
         }
     }
 
-    /// Replaces the terms of a leader that has failed. If it shows meanwhile that it lives, the version of its
-    /// liveness record has changed and the acquisition fails.
+    /// Replaces the terms of a failed leader. If the leader writes its liveness record in the meantime, the version of
+    /// that record changes and the acquisition fails.
     fn fence(&mut self, node: &NodeLabel, led_shards: Vec<ShardId>, evidence: FailureEvidence, duration: Span) {
         let liveness_condition =
             |shard: &ShardId| Condition::version(keys::liveness_key(*shard), self.membership.liveness_version(*shard));
         let liveness_conditions: Vec<Condition> = led_shards.iter().map(liveness_condition).collect();
         for shard in led_shards {
             let Some(leadership) = self.membership.leadership(shard) else { continue };
-            // A leader whose record names no bounds keeps its term until its node lease expires.
+            // A leader whose leadership record has no bounds keeps its term until its node lease expires.
             let (Some(bounds), term) = (leadership.bounds, leadership.term) else { continue };
             let leader = NodeIncarnation { node: node.clone(), incarnation: leadership.incarnation };
             let ms = duration.as_millis();
-            log::warn!("shard {shard}: fencing leader {node} of term {term}, which is {evidence} (for {ms} ms)");
+            log::warn!("shard {shard}: fencing leader {node} of term {term}: {evidence} for {ms} ms");
             let fenced = FencedLeader { leader, bounds, liveness_conditions: liveness_conditions.clone() };
             self.acquire_leadership(shard, term, AcquisitionReason::Fencing(fenced));
         }
--- a/src/coordination/leadership/isolation.rs
+++ b/src/coordination/leadership/isolation.rs
@@ -1,4 +1,4 @@
-//! Releases the shards of a controller that is isolated: it reaches the state service, but neither its peers nor its
+//! Release of the shards of an isolated controller, which reaches the state service but neither its peers nor its
 //! workers.
 
 use super::operation::ReleaseReason;
@@ -7,22 +7,22 @@
 use crate::model::ShardId;
 use crate::time::{Span, Time};
 
-/// For how many heartbeat intervals no worker may have been heard before a shard is released in isolation.
+/// Silence of all workers of a shard, in heartbeat intervals, after which an isolated controller releases the shard.
 const MISSED_HEARTBEATS: f64 = 3.0;
 /// Silence of all workers of a shard, as a fraction of the worker lease, after which an isolated controller releases
 /// the shard. The longer of this time and [`MISSED_HEARTBEATS`] applies.
 const SILENCE_FRACTION_OF_WORKER_LEASE: f64 = 0.5;
 /// Duration of the first backoff, in worker leases.
 const FIRST_BACKOFF_IN_WORKER_LEASES: f64 = 2.0;
-/// How many worker leases a backoff lasts at most.
+/// Maximum duration of a backoff, in worker leases.
 const MAX_BACKOFF_IN_WORKER_LEASES: f64 = 8.0;
-/// By which factor each backoff is longer than the one before.
+/// Factor by which each backoff is longer than the previous one.
 const BACKOFF_FACTOR: f64 = 2.0;
 
-/// Whether this node acquires nothing at present because it has stepped down in isolation.
+/// Backoff during which this node acquires no leadership because it has stepped down in isolation.
 #[derive(Default)]
 pub(super) struct AcquisitionBackoff {
-    /// The newest backoff since a peer or a worker was last heard.
+    /// Newest backoff since the last message from a peer or a worker; `None` if there was none.
     newest: Option<BackoffPeriod>,
 }
 
@@ -36,7 +36,7 @@
         self.newest.as_ref().is_some_and(|period| now < period.until)
     }
 
-    /// Begins a backoff that is longer than the one before.
+    /// Starts a backoff that is longer than the previous one.
     fn begin(&mut self, now: Time, worker_lease: Span) {
         let longest = worker_lease.times(MAX_BACKOFF_IN_WORKER_LEASES);
         let duration = match &self.newest {
@@ -46,23 +46,24 @@
         self.newest = Some(BackoffPeriod { until: now + duration, duration });
     }
 
-    /// Ends the backoff, and the next one is short again.
+    /// Ends the backoff and resets the duration of the next one.
     pub fn end(&mut self) {
         self.newest = None;
     }
 }
 
 impl Controller {
-    /// Whether this node acquires nothing at present because it has stepped down in isolation.
+    /// Returns `true` while this node acquires no leadership because it has stepped down in isolation.
     pub(super) fn backs_off_acquisition(&self) -> bool {
         self.leadership.acquisition_backoff.is_active(self.now)
     }
 
-    /// Releases the shards whose workers send no heartbeats to this node while no peer is reachable either.
+    /// Releases the shards whose workers' heartbeats do not reach this node while no peer is reachable either.
     ///
-    /// A node on the workers' side of such a partition can serve them; an isolated node cannot, although it could
-    /// renew its lease forever. It acquires nothing until it hears a peer or a worker, or until a backoff that doubles
-    /// each time is over, so that a shard without any worker does not change its leader again and again.
+    /// A node on the workers' side of such a partition can serve them. The isolated node cannot, although it could
+    /// renew its node lease indefinitely and so keep its leadership. After the release it acquires no leadership until
+    /// a message from a peer or a worker arrives, or until a backoff that doubles each time has ended, so that the
+    /// leader of a shard whose workers are all unreachable does not change repeatedly.
     pub(in crate::coordination) fn step_down_if_isolated(&mut self) {
         let has_peers = !self.settings.peers.is_empty();
         let reaches_peer = self.membership.reachable_peers(self.now).next().is_some();
@@ -79,7 +80,7 @@
         }
     }
 
-    /// The shards that have workers, none of which was heard lately.
+    /// Returns the shards that have workers, none of which has sent a heartbeat recently.
     fn shards_with_silent_workers(&self) -> Vec<ShardId> {
         let heartbeats = self.settings.heartbeat_interval.times(MISSED_HEARTBEATS);
         let timeout = heartbeats.max(self.settings.worker_lease.times(SILENCE_FRACTION_OF_WORKER_LEASE));
--- a/src/coordination/leadership/leader_lease.rs
+++ b/src/coordination/leadership/leader_lease.rs
@@ -1,23 +1,24 @@
-//! Until when this node may act as the leader of a shard.
+//! The actions that this node may take as the leader of a shard while its leases are valid.
 
 use crate::coordination::controller::Controller;
 use crate::model::ShardId;
 use crate::time::{Span, Time};
 
 impl Controller {
-    /// Whether this node may decide for a shard: its node lease and its leader lease of the shard are valid.
+    /// Returns `true` if this node may make decisions for a shard: its node lease and its leader lease are valid.
     pub(in crate::coordination) fn may_decide(&self, shard: ShardId) -> bool {
         self.holds_lease() && self.shards.get(&shard).is_some_and(|shard| shard.may_decide(self.now))
     }
 
-    /// Whether this node may answer users from memory for a shard.
+    /// Returns `true` if this node may serve users' reads of a shard from memory.
     pub(in crate::coordination) fn may_serve_reads(&self, shard: ShardId) -> bool {
         self.may_decide(shard)
             && self.shards.get(&shard).is_some_and(|shard| shard.leadership.leader_lease.may_serve_reads(self.now))
     }
 
-    /// Whether this node may renew worker leases for a shard: until a grace period after the node lease has expired,
-    /// the leader lease has ended, or the release of the shard was requested, whichever was first.
+    /// Returns `true` if this node may renew worker leases of a shard. It may do so until the end of the grace period,
+    /// which begins when the node lease expires, the leader lease ends, or the release of the shard is requested,
+    /// whichever is first.
     pub(in crate::coordination) fn may_renew_worker_leases(&self, shard: ShardId) -> bool {
         let (Some(lease_end), Some(shard)) = (self.leadership.node_lease.valid_until(), self.shards.get(&shard)) else {
             return false;
@@ -28,7 +29,7 @@
         self.now < end + self.worker_lease_grace()
     }
 
-    /// The grace period: how long after the end of the leader lease worker leases are still renewed.
+    /// Returns the grace period: the time for which worker leases are still renewed after the leader lease has ended.
     pub(in crate::coordination) fn worker_lease_grace(&self) -> Span {
         self.settings.cancellation.grace()
     }
--- a/src/coordination/leadership/leader_poll.rs
+++ b/src/coordination/leadership/leader_poll.rs
@@ -1,5 +1,5 @@
-//! Reads who leads which shard, and reacts to what is found: steps down from terms that were replaced, reacquires
-//! terms of this node, and acquires shards without a leader.
+//! Polling of the leadership records: steps down from terms that were replaced, reacquires terms of this node, and
+//! acquires shards without a leader.
 
 use super::acquisition::AcquisitionReason;
 use super::operation::LeadershipOperation;
@@ -13,19 +13,19 @@
 use crate::storage::records::ShardRecord;
 use crate::time::{Span, Time};
 
-/// How long a shard that has never been led is left to its preferred leader.
+/// Time for which a shard that has never had a leader is left to its preferred leader.
 const FIRST_LEADER_WAIT: Span = Span::millis(3000);
-/// How long a shard that this node has released is left to the node to which it was handed over.
+/// Time after its release for which a shard is left to the node to which it was handed over.
 const HAND_OVER_WAIT: Span = Span::millis(3000);
-/// How long a shard without a leader is left to its preferred leader if that is ready.
+/// Time for which a shard without a leader is left to its preferred leader if that node is ready.
 const PREFERRED_LEADER_WAIT: Span = Span::millis(1500);
-/// How much longer each further node in the order of preference waits before it acquires a shard.
+/// Additional time that a node waits per rank in the order of preference before it acquires a shard.
 const WAIT_PER_RANK: Span = Span::millis(300);
-/// Each shard that a node leads beyond the first counts as this many places in the order of preference, so that
-/// nodes with fewer shards come first.
+/// Number of ranks added to a node's rank for each shard that it leads beyond the first, so that nodes with fewer shards
+/// acquire a shard earlier.
 const RANKS_PER_LED_SHARD: u64 = 2;
 
-/// The polling of who leads which shard.
+/// Schedule of the polls of the leadership records.
 #[derive(Default)]
 pub(super) struct LeaderPoll {
     last_poll: Time,
@@ -37,7 +37,7 @@
         now.since(self.last_poll) >= interval
     }
 
-    /// Whether a poll may begin now. It counts as in flight from here on.
+    /// Starts a poll and returns `true`, unless a poll is in flight already.
     fn begin_poll(&mut self, now: Time) -> bool {
         if self.poll_in_flight {
             return false;
@@ -53,17 +53,17 @@
 }
 
 impl Controller {
-    /// The node that leads a shard, as far as this node knows.
+    /// Returns the node that is known to lead a shard, or `None` if no leader is known.
     pub(in crate::coordination) fn leader_of(&self, shard: ShardId) -> Option<&NodeLabel> {
         self.membership.leader_of(shard)
     }
 
-    /// The node that leads a shard if all nodes are well.
+    /// Returns the node that leads a shard when all nodes are available.
     pub(super) fn preferred_leader(&self, shard: ShardId) -> &NodeLabel {
         &self.settings.nodes[shard.0 as usize % self.settings.nodes.len()]
     }
 
-    /// Reads who leads which shard if that is due.
+    /// Polls the leadership records if a poll is due.
     pub(super) fn poll_leaders_if_due(&mut self) {
         let interval = self.settings.properties.leadership_poll_interval;
         if self.leadership.leader_poll.is_due(self.now, interval) {
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Reads who leads which shard, unless that is being done already.
+    /// Polls the leadership records, unless a poll is in flight already.
     pub(super) fn poll_leaders(&mut self) {
         if self.leadership.leader_poll.begin_poll(self.now) {
             let request = StateCall::List { prefix: keys::SHARDS, after: None };
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Reacts to the records of all shards.
+    /// Processes the records of all shards that a poll has returned.
     pub(super) fn leaders_listed(&mut self, sent: Time, answer: StateResult) {
         self.leadership.leader_poll.poll_answered();
         let Ok(StateAnswer::Page { entries, .. }) = answer else { return };
@@ -103,7 +103,9 @@
         }
     }
 
-    /// Reacts to the record of who leads a shard, in an answer to a request that was sent at the given time.
+    /// Processes the leadership record of a shard, read by a request that was sent at `sent`. Steps down if the record
+    /// contains a newer term, and reacquires leadership if this node does not lead the shard that the record assigns to
+    /// it.
     pub(in crate::coordination) fn leadership_record_seen(&mut self, id: ShardId, entry: &Entry, sent: Time) {
         let Ok(record) = serde_json::from_value::<ShardRecord>(entry.value.clone()) else { return };
         if self.membership.leadership(id).is_some_and(|leadership| entry.version < leadership.term) {
@@ -119,11 +121,11 @@
         }
     }
 
-    /// Acquires a new term if the present one is this node's own although it does not lead the shard.
+    /// Acquires a new term if the current term belongs to this node although it does not lead the shard.
     ///
-    /// The present term is not taken as it is: under an old term there may be commands on their way that this node
-    /// no longer remembers, and only a higher fencing token distinguishes heartbeats from before them from heartbeats
-    /// after them.
+    /// The node does not continue the current term: commands sent under it may still be in transit that this process
+    /// has no record of, and only a higher fencing token distinguishes heartbeats sent before such a command from
+    /// heartbeats sent after it.
     fn reacquire_own_term(&mut self, id: ShardId, term: Revision, record: &ShardRecord) {
         if let Some(reason) = self.reacquisition_reason(record)
             && !self.is_changing_leadership(id)
@@ -132,7 +134,7 @@
         }
     }
 
-    /// Why this node may reacquire a term with the given record, if it may.
+    /// Returns the reason for which this node may reacquire the term of a leadership record, or `None` if it may not.
     fn reacquisition_reason(&self, record: &ShardRecord) -> Option<AcquisitionReason> {
         if record.node != self.settings.label {
             return None;
@@ -140,16 +142,16 @@
         if record.incarnation == self.incarnation {
             return Some(AcquisitionReason::OwnOutcomeUnknown);
         }
-        // The former process is surely gone: only one process can listen at an address, and this one does. So there
-        // is no need to wait until its lease expires.
+        // The former process has certainly exited, because only one process can listen at an address and this one
+        // does. There is no need to wait until the lease of the former process expires.
         let same_address = record.front == Some(self.settings.front);
         let may_reacquire = same_address && self.settings.properties.recovery.reacquire_own;
         may_reacquire.then_some(AcquisitionReason::OwnFormerIncarnation)
     }
 
-    /// Acquires a shard that has no leader once the nodes that come before this one have had time to do so.
+    /// Acquires a shard that has no leader, after the nodes that precede this one have had time to acquire it.
     fn leadership_record_missing(&mut self, id: ShardId) {
-        // The list may be older than an acquisition that this node knows to have succeeded.
+        // The list may have been read before an acquisition that this node knows to have succeeded.
         if self.shards.contains_key(&id) || self.is_changing_leadership(id) {
             return;
         }
@@ -159,20 +161,21 @@
         }
         let wait = self.vacancy_wait(id, missing.ever_led);
         let vacant_for = self.now.since(missing.since);
-        // A process that has just started has not heard the others yet.
+        // A process that has just started has not received heartbeats from the others yet.
         let running_for = self.now.since(self.started);
         if vacant_for >= wait && running_for >= FIRST_LEADER_WAIT.min(wait) {
             self.acquire_leadership(id, Revision(0), AcquisitionReason::Vacant);
         }
     }
 
-    /// Whether this node has released a shard so lately that it is left to the node to which it was handed over.
+    /// Returns `true` if this node has released a shard so recently that the shard is left to the node to which it was
+    /// handed over.
     fn is_handed_over(&self, id: ShardId) -> bool {
         let released_at = self.membership.leadership(id).and_then(|leadership| leadership.released_at);
         released_at.is_some_and(|released_at| self.now.since(released_at) < HAND_OVER_WAIT)
     }
 
-    /// How long this node leaves a shard without a leader to others.
+    /// Returns the time for which this node leaves a shard without a leader to other nodes.
     fn vacancy_wait(&self, id: ShardId, was_led: bool) -> Span {
         let rank = self.preference_rank(id);
         if rank == 0 {
@@ -190,7 +193,7 @@
         }
     }
 
-    /// How many nodes come before this one in the order of preference of a shard.
+    /// Returns the number of nodes that precede this one in the order of preference of a shard.
     fn preference_rank(&self, id: ShardId) -> u32 {
         let nodes = self.settings.nodes.len() as u32;
         (self.settings.me.0 + nodes - id.0 % nodes) % nodes
--- a/src/coordination/leadership/mod.rs
+++ b/src/coordination/leadership/mod.rs
@@ -1,19 +1,21 @@
-//! Leadership of shards: acquiring and keeping it, giving it up, and replacing leaders that have failed.
+//! Shard leadership: acquisition, confirmation and release of leadership, and the replacement of failed leaders.
 //!
 //! - [`node_lease`]: this node's lease at the state service, to which its leadership records are attached;
-//! - [`leader_watch`]: reads who leads which shard and reacts to what is found;
+//! - [`leader_poll`]: polls the leadership records of all shards and reacts to their content;
 //! - [`acquisition`]: acquires leadership of a shard;
 //! - [`release`]: steps down, releases leadership and hands it over to a peer;
-//! - [`isolation`]: releases the shards of an isolated controller, and the acquisition backoff after that;
-//! - [`leader_lease`]: until when a leader may decide, serve reads and renew worker leases;
-//! - [`readiness`]: what must hold before the first decision of a term;
-//! - [`failure_detection`]: decides that a leader has failed, probes it and fences it;
-//! - [`liveness`]: the record by which a leader shows that it lives while peers cannot hear it;
+//! - [`isolation`]: releases the shards of an isolated controller, and delays its next acquisitions;
+//! - [`leader_lease`]: the periods in which a leader may make decisions, serve reads and renew worker leases;
+//! - [`readiness`]: the checks before the first decision of a term;
+//! - [`failure_detection`]: detects a failed leader, probes it and fences it;
+//! - [`liveness`]: the liveness record, written by a leader whose heartbeats may not reach all peers;
 //! - [`peer_heartbeats`]: the periodic messages between controllers;
+//! - [`step_down_reason`]: the reasons for which a node stops leading a shard;
 //! - [`previous_terms`] and [`operation`]: the data that these modules share.
 //!
-//! The decisions themselves are made by the `crowstall_leadership` package; these modules make the calls. Why no
-//! promise is broken while two nodes take themselves for the leader of a shard is explained in `docs/failover.md`.
+//! The rules for these decisions are implemented without I/O in the `crowstall_leadership` package; the modules here
+//! apply them and call the state service and the peers. `docs/failover.md` explains why all guarantees hold while two
+//! nodes believe that they lead the same shard.
 
 mod acquisition;
 mod failure_detection;
@@ -49,31 +51,32 @@
 use previous_terms::PreviousTerms;
 use readiness::PauseMonitor;
 
-/// What this node knows of leadership beyond the table of members, and what it last did to acquire and keep it.
+/// Leadership state of this node beyond the membership table: its node lease, and the progress of polling, failure
+/// detection and heartbeats.
 pub(super) struct NodeLeadership {
-    /// The leadership bounds of this node's terms. None if its terms may not be replaced before the node lease
-    /// expires, and if it replaces no other leader before that either.
+    /// Leadership bounds of this node's terms. `None` if early replacement is disabled: this node's terms may not be
+    /// replaced before its node lease expires, and it replaces no other leader before that leader's node lease expires.
     bounds: Option<LeadershipBounds>,
-    /// This node's lease at the state service.
+    /// Lease of this node at the state service.
     node_lease: NodeLease,
     /// Polling of the leadership records.
     leader_poll: LeaderPoll,
     /// Newest known previous-term record of each shard.
     previous_terms: PreviousTerms,
-    /// Set while this node acquires nothing because it has stepped down in isolation.
+    /// Period in which this node acquires no leadership because it has stepped down in isolation.
     acquisition_backoff: AcquisitionBackoff,
-    /// How long this process has stood still since it last acquired leadership.
+    /// Longest pause of this process since it last requested leadership.
     pauses: PauseMonitor,
-    /// The failure detectors of the peers.
+    /// Failure detectors of the peers.
     failure_detection: FailureDetection,
-    /// Writing the liveness record.
+    /// Schedule of the liveness record writes.
     liveness: LivenessWriter,
-    /// Sending heartbeats to the peers.
+    /// Schedule of the heartbeats to the peers.
     peer_heartbeats: PeerHeartbeats,
 }
 
 impl NodeLeadership {
-    /// A node without a lease.
+    /// Creates the state of a node that has no lease yet.
     pub fn new(settings: &Settings) -> NodeLeadership {
         let properties = &settings.properties;
         let bounds = LeadershipBounds {
@@ -93,39 +96,39 @@
         }
     }
 
-    /// The leadership bounds of this node's terms, if they may be replaced before the node lease expires.
+    /// Returns the leadership bounds of this node's terms, or `None` if early replacement is disabled.
     pub fn bounds(&self) -> Option<LeadershipBounds> {
         self.bounds
     }
 
-    /// Whether this node was granted a lease that is not known to have expired.
+    /// Returns `true` if this node was granted a lease that is not known to have expired.
     pub fn has_lease(&self) -> bool {
         self.node_lease.is_granted()
     }
 
-    /// What the previous leaders of a shard went by, once it was read.
+    /// Returns the previous-term record of a shard, or `None` until it has been read.
     pub fn previous_term(&self, shard: ShardId) -> Option<&PreviousTerm> {
         self.previous_terms.get(shard)
     }
 
-    /// Remembers what the previous leaders of a shard went by.
+    /// Stores the previous-term record of a shard.
     pub fn set_previous_term(&mut self, shard: ShardId, version: Revision, record: PreviousTermRecord) {
         self.previous_terms.set(shard, PreviousTerm { version, record });
     }
 
-    /// Ends the acquisition backoff, since a peer or a worker reaches this node.
+    /// Ends the acquisition backoff because a message from a peer or a worker has reached this node.
     pub fn end_backoff(&mut self) {
         self.acquisition_backoff.end();
     }
 
-    /// Records that the state service has answered this node.
+    /// Records an answer of the state service to this node.
     pub fn state_answered(&mut self, now: Time) {
         self.failure_detection.state_answered(now);
     }
 }
 
 impl Controller {
-    /// Passes an answer of the state service to the module that sent the call.
+    /// Dispatches an answer of the state service to the module that sent the call.
     pub(super) fn leadership_answered(&mut self, sent: Time, operation: LeadershipOperation, answer: StateResult) {
         match operation {
             LeadershipOperation::Grant => self.lease_grant_answered(sent, answer),
@@ -140,14 +143,15 @@
         }
     }
 
-    /// Keeps the node lease alive, reads who leads which shard and sends heartbeats to the peers, each when due.
+    /// Renews the node lease, polls the leadership records and sends heartbeats to the peers, each when it is due.
     pub(super) fn leadership_tick(&mut self) {
         self.maintain_node_lease();
         self.poll_leaders_if_due();
         self.send_peer_heartbeat_if_due();
     }
 
-    /// Confirms this node's terms, shows that it lives, and replaces leaders that have failed.
+    /// Checks this node's terms if answers wait for it, writes the liveness record if it is due, and replaces failed
+    /// leaders.
     pub(super) fn failover_tick(&mut self, time_since_last_tick: Span) {
         self.leadership.failure_detection.ticked(self.now);
         self.leadership.pauses.record(time_since_last_tick);
--- a/src/coordination/leadership/node_lease.rs
+++ b/src/coordination/leadership/node_lease.rs
@@ -1,6 +1,6 @@
-//! This node's lease at the state service: grant, keep-alive and expiry.
+//! The lease of this node at the state service: grant, keep-alive and expiry.
 //!
-//! The leadership records of this node are attached to the lease and disappear when the lease expires.
+//! The leadership records of this node are attached to the lease and are deleted by the state service when it expires.
 
 use super::operation::LeadershipOperation;
 use super::step_down_reason::StepDownReason;
@@ -10,7 +10,7 @@
 use crate::protocol::state::{StateAnswer, StateCall};
 use crate::time::{Span, Time};
 
-/// How long after a request for a lease the next one is sent.
+/// Time between two requests for a lease while none is granted.
 const GRANT_RETRY_INTERVAL: Span = Span::millis(200);
 /// Time between two keep-alives, as a fraction of the lease's time to live.
 const KEEP_ALIVE_FRACTION: f64 = 0.25;
@@ -19,46 +19,46 @@
 /// Time between two keep-alives after one has failed.
 const KEEP_ALIVE_RETRY_INTERVAL: Span = Span::millis(300);
 
-/// A lease that the state service has granted.
+/// Lease that the state service has granted.
 struct GrantedLease {
     id: LeaseId,
-    /// Until when the state service surely keeps what is attached to the lease. It is counted from when the last
-    /// successful keep-alive was sent, so that a slow answer never lengthens it.
+    /// Time until which the state service certainly keeps the keys attached to the lease. It is counted from when the
+    /// last successful grant or keep-alive was sent, so that a slow answer never extends it.
     valid_until: Time,
 }
 
-/// This node's lease at the state service.
+/// Lease of this node at the state service, with its calls.
 #[derive(Default)]
 pub(super) struct NodeLease {
     granted: Option<GrantedLease>,
     call_in_flight: bool,
-    /// When the newest grant or keep-alive was sent. None if the next one is due at once.
+    /// Time at which the newest grant request or keep-alive was sent; `None` if the next one is due at once.
     last_call: Option<Time>,
 }
 
-/// The next call for the node lease.
+/// Call to the state service for the node lease.
 enum NodeLeaseCall {
     Grant,
     KeepAlive(LeaseId),
 }
 
 impl NodeLease {
-    /// Whether a lease was granted that is not known to have expired.
+    /// Returns `true` if a lease was granted that is not known to have expired.
     pub fn is_granted(&self) -> bool {
         self.granted.is_some()
     }
 
-    /// The lease that was granted, if it is not known to have expired.
+    /// Returns the granted lease, or `None` if there is none that is not known to have expired.
     pub fn id(&self) -> Option<LeaseId> {
         self.granted.as_ref().map(|lease| lease.id)
     }
 
-    /// Until when the lease is surely valid, if there is one.
+    /// Returns the time until which the lease is certainly valid, or `None` if there is none.
     pub fn valid_until(&self) -> Option<Time> {
         self.granted.as_ref().map(|lease| lease.valid_until)
     }
 
-    /// The call that is due now, if there is one. It counts as in flight from here on.
+    /// Returns the call that is due now, if any, and marks it as in flight.
     fn begin_call_if_due(&mut self, now: Time, ttl: Span) -> Option<NodeLeaseCall> {
         if self.call_in_flight || !self.is_call_due(now, ttl) {
             return None;
@@ -97,8 +97,8 @@
     }
 }
 
-/// How long after a keep-alive the next one is sent. Once one has failed the next ones follow sooner, since each of
-/// them may be the one that saves this node's leadership.
+/// Returns the time between two keep-alives. After one has failed the next ones follow sooner, because this node loses
+/// its leadership unless one of them succeeds before the lease expires.
 fn keep_alive_interval(remaining: Span, ttl: Span) -> Span {
     if remaining < ttl.times(MIN_REMAINING_FRACTION) {
         KEEP_ALIVE_RETRY_INTERVAL
@@ -108,12 +108,12 @@
 }
 
 impl Controller {
-    /// Whether the node lease is surely valid, and with it everything that is attached to it.
+    /// Returns `true` if the node lease is certainly valid, and so are the keys attached to it.
     pub(in crate::coordination) fn holds_lease(&self) -> bool {
         self.leadership.node_lease.valid_until().is_some_and(|valid_until| self.now < valid_until)
     }
 
-    /// Asks for a node lease or renews it, if that is due.
+    /// Requests or renews the node lease if a call is due.
     pub(super) fn maintain_node_lease(&mut self) {
         let ttl = self.settings.properties.leader_lease_ttl;
         match self.leadership.node_lease.begin_call_if_due(self.now, ttl) {
@@ -127,18 +127,18 @@
         }
     }
 
-    /// Takes over a lease that was granted.
+    /// Stores a lease that was granted, and polls the leadership records.
     pub(super) fn lease_grant_answered(&mut self, sent: Time, answer: StateResult) {
         self.leadership.node_lease.call_answered();
         if let Ok(StateAnswer::Granted(id)) = answer {
-            log::info!("node lease {id} granted");
+            log::info!("node lease {id} granted by the state service; polling the leadership records");
             self.leadership.node_lease.granted(id, sent, self.settings.properties.leader_lease_ttl);
-            // Shards without a leader can be acquired from now on, so this does not wait for the next poll.
+            // Shards without a leader can be acquired from now on, so the poll does not wait until it is due.
             self.poll_leaders();
         }
     }
 
-    /// Extends the lease that was renewed, or steps down if it has expired.
+    /// Extends a lease that was renewed, or steps down if the lease has expired.
     pub(super) fn keep_alive_answered(&mut self, id: LeaseId, sent: Time, answer: StateResult) {
         self.leadership.node_lease.call_answered();
         if self.leadership.node_lease.id() != Some(id) {
@@ -149,13 +149,13 @@
                 self.leadership.node_lease.renewed(sent, self.settings.properties.leader_lease_ttl);
             }
             Ok(StateAnswer::LeaseExpired) => self.node_lease_expired(id),
-            // Refused or unanswered: the lease expires by itself unless a later keep-alive succeeds.
+            // The call was refused or not answered: the lease expires unless a later keep-alive succeeds.
             _ => {}
         }
     }
 
     fn node_lease_expired(&mut self, id: LeaseId) {
-        log::warn!("node lease {id} has expired");
+        log::warn!("node lease {id} has expired; stepping down from all shards of this controller");
         self.leadership.node_lease.expired();
         let led_shards: Vec<ShardId> = self.shards.keys().copied().collect();
         for shard in led_shards {
--- a/src/coordination/leadership/operation.rs
+++ b/src/coordination/leadership/operation.rs
@@ -1,21 +1,21 @@
-//! Calls to the state service that concern the node lease and leadership terms.
+//! Calls to the state service for the node lease and for leadership terms.
 
 use crate::coordination::leadership_term::LeadershipTerm;
 use crate::model::{LeaseId, NodeLabel, ShardId};
 use crate::time::Time;
 use crowstall_leadership::{LeadershipBounds, LeadershipOverlap, NodeIncarnation};
 
-/// A call to the state service that concerns the node lease or a leadership term.
+/// Call to the state service for the node lease or for a leadership term.
 pub(in crate::coordination) enum LeadershipOperation {
-    /// Asks for a node lease.
+    /// Requests a node lease.
     Grant,
     /// Renews the node lease.
     KeepAlive { lease: LeaseId },
-    /// Reads who leads which shard.
+    /// Lists the leadership records of all shards.
     ListLeaders,
     /// Acquires leadership of a shard.
     Acquire { shard: ShardId, lease: LeaseId, context: AcquisitionContext },
-    /// Reads a shard's key to see whether this node's term still stands.
+    /// Reads the leadership record of a shard in order to check that this node's term is still in force.
     CheckTerm { leadership: LeadershipTerm },
     /// Writes the liveness record of a shard.
     WriteLiveness { leadership: LeadershipTerm },
@@ -24,7 +24,7 @@
 }
 
 impl LeadershipOperation {
-    /// The term that was a condition of the transaction, if there was one.
+    /// Returns the term that is a condition of the transaction, if there is one.
     pub fn leadership_condition(&self) -> Option<LeadershipTerm> {
         match self {
             LeadershipOperation::WriteLiveness { leadership } => Some(*leadership),
@@ -32,7 +32,7 @@
         }
     }
 
-    /// The shard whose leadership this acquires or releases, if it does so.
+    /// Returns the shard whose leadership this call acquires or releases; `None` for all other calls.
     pub(in crate::coordination) fn shard_changing_leadership(&self) -> Option<ShardId> {
         match self {
             LeadershipOperation::Acquire { shard, .. } => Some(*shard),
@@ -42,45 +42,45 @@
     }
 }
 
-/// Why leadership of a shard is released.
+/// Reason for a release of leadership.
 pub(in crate::coordination) enum ReleaseReason {
-    /// A peer is to lead the shard.
+    /// Transfer of leadership to a peer.
     HandOver {
-        /// The peer, which may acquire leadership at once.
+        /// Peer that may acquire leadership at once.
         to: NodeLabel,
     },
-    /// This node is isolated, so any other node may lead the shard.
+    /// Isolation of this node, after which any other node may lead the shard.
     Isolated,
 }
 
-/// What is known when leadership of a shard is requested, and is needed once it was acquired.
+/// Facts known when leadership of a shard is requested that are needed after it was acquired.
 pub(in crate::coordination) struct AcquisitionContext {
-    /// Whether all previous leaders went by the same quotas as this node, see `PreviousTermRecord`.
+    /// `true` if all previous leaders applied the same quotas as this node, see `PreviousTermRecord`.
     pub same_quotas: bool,
-    /// Whether the previous term was this node's own, of an earlier incarnation.
+    /// `true` if the previous term belonged to an earlier incarnation of this node.
     pub reacquired: bool,
-    /// Set if a deposed leader may not know yet that it was replaced.
+    /// Overlap with deposed leaders; `None` if no deposed leader can be unaware of its replacement.
     pub(super) overlap: Option<InheritedOverlap>,
 }
 
 impl AcquisitionContext {
-    /// The bounds of deposed leaders that may not know yet that they were replaced, if there may be any.
+    /// Returns the bounds of deposed leaders that may not know yet that they were replaced, if there may be any.
     pub fn overlap_bounds(&self) -> Option<LeadershipBounds> {
         self.overlap.as_ref().map(|overlap| overlap.bounds)
     }
 
-    /// The leadership overlap at the start of the term, if there is one. `since` must not be earlier than the moment
-    /// when the previous term was replaced.
+    /// Returns the leadership overlap at the start of the term, if there is one. `since` must not be earlier than the
+    /// replacement of the previous term.
     pub fn leadership_overlap(&self, since: Time) -> Option<LeadershipOverlap> {
         let overlap = self.overlap.as_ref()?;
         Some(LeadershipOverlap::new(since, overlap.bounds, overlap.deposed.clone()))
     }
 }
 
-/// The overlap with deposed leaders with which a term begins.
+/// Overlap with deposed leaders at the start of a term.
 pub(super) struct InheritedOverlap {
-    /// For how long a deposed leader may go on, counted from the acquisition.
+    /// Bounds on how long a deposed leader may continue to act, counted from the acquisition.
     pub bounds: LeadershipBounds,
-    /// The leader that this term replaces. None if the overlap is left over from an earlier replacement.
+    /// Leader that this term replaces; `None` if the overlap remains from an earlier replacement.
     pub deposed: Option<NodeIncarnation>,
 }
--- a/src/coordination/leadership/peer_heartbeats.rs
+++ b/src/coordination/leadership/peer_heartbeats.rs
@@ -1,4 +1,4 @@
-//! The periodic heartbeats between controllers: what this node tells its peers, and what it learns from theirs.
+//! The periodic heartbeats between controllers.
 
 use super::step_down_reason::StepDownReason;
 use crate::coordination::controller::Controller;
@@ -8,19 +8,19 @@
 use crate::time::{Span, Time};
 use crowstall_leadership::PeerStatus;
 
-/// How often heartbeats are sent to the peers.
+/// Interval between two heartbeats to the peers.
 const PEER_HEARTBEAT_INTERVAL: Span = Span::millis(400);
 
-/// When heartbeats are sent to the peers.
+/// Schedule of the heartbeats to the peers.
 #[derive(Default)]
 pub(super) struct PeerHeartbeats {
     last_sent: Time,
-    /// How many heartbeats were sent. Each carries the next page of lists that are too long for one.
+    /// Number of heartbeats sent. Each contains the next page of the lists that are too long for one heartbeat.
     sent: u64,
 }
 
 impl Controller {
-    /// Sends a heartbeat to every peer if that is due.
+    /// Sends a heartbeat to every peer if one is due.
     pub(super) fn send_peer_heartbeat_if_due(&mut self) {
         if self.now.since(self.leadership.peer_heartbeats.last_sent) >= PEER_HEARTBEAT_INTERVAL {
             self.send_peer_heartbeat();
@@ -56,14 +56,14 @@
         }
     }
 
-    /// The machines that this node's shards have rented and that are not up yet.
+    /// Returns the machines that this node's shards have rented and that have not started yet, with their shards.
     fn rented_machines(&self) -> Vec<(MachineId, ShardId)> {
         let rented = |shard: ShardId, machine: &MachineId| (machine.clone(), shard);
         let shards = self.shards.values();
         shards.flat_map(|shard| shard.fleet.booting.keys().map(move |machine| rented(shard.id, machine))).collect()
     }
 
-    /// Handles a heartbeat of a peer. Other messages are ignored.
+    /// Handles a heartbeat from a peer. Other messages are ignored.
     pub(in crate::coordination) fn handle_peer_heartbeat(&mut self, from: NodeLabel, heartbeat: PeerMessage) {
         let PeerMessage::Heartbeat {
             holds_lease,
@@ -85,7 +85,8 @@
         self.record_peer_heartbeat(from, peer_status, rented, spare);
     }
 
-    /// Takes in what a peer tells of itself and of the others.
+    /// Updates this node's tables from the heartbeat of a peer, steps down from terms that the peer has replaced, and
+    /// hands a shard over to the peer if it leads none.
     fn record_peer_heartbeat(
         &mut self,
         from: NodeLabel,
@@ -105,8 +106,8 @@
         self.hand_over_to(&from);
     }
 
-    /// Steps down from shards that a peer leads in a newer term. Its acquisition can only have succeeded after this
-    /// node's term had ended.
+    /// Steps down from shards that a peer leads in a newer term. The acquisition by that peer can only have succeeded
+    /// after this node's term had ended.
     fn step_down_from_replaced_terms(&mut self, peer_status: &PeerStatus) {
         for &(shard, term) in &peer_status.led {
             if self.shards.get(&shard).is_some_and(|own| own.term < term) {
@@ -115,7 +116,7 @@
         }
     }
 
-    /// Ends the leadership overlap with a deposed leader that says that it knows of the term that replaced it.
+    /// Ends the leadership overlap with a deposed leader that reports the term that replaced it, or a newer one.
     fn end_overlaps(&mut self, from: &NodeLabel, peer_status: &PeerStatus) {
         let one_process_per_label = self.settings.properties.recovery.reacquire_own;
         for &(id, known_term) in &peer_status.known {
@@ -123,7 +124,7 @@
             if let Some(overlap) = &mut shard.leadership.overlap
                 && overlap.record_heartbeat_from(from, peer_status.incarnation, one_process_per_label)
             {
-                log::info!("shard {id}: deposed leader {from} knows that it was replaced");
+                log::info!("shard {id}: deposed leader {from} reports that it was replaced; leadership overlap ended");
             }
         }
     }
--- a/src/coordination/leadership/previous_terms.rs
+++ b/src/coordination/leadership/previous_terms.rs
@@ -1,40 +1,41 @@
-//! What the previous leaders of each shard went by, as last read from the state service.
+//! The previous-term records: the quotas that the previous leaders of each shard applied, and the leadership overlap
+//! that they leave to their successor, as last read from the state service.
 
 use crate::model::{Revision, ShardId};
 use crate::protocol::state::Entry;
 use crate::storage::records::PreviousTermRecord;
 
-/// The record of what the previous leaders of a shard went by.
+/// Previous-term record of a shard, with its version.
 #[derive(Clone, Default)]
 pub(in crate::coordination) struct PreviousTerm {
-    /// The version of the record, 0 if there is none.
+    /// Version of the record; 0 if there is none.
     pub version: Revision,
-    /// The record, empty if there is none.
+    /// Content of the record; empty if there is none.
     pub record: PreviousTermRecord,
 }
 
-/// The newest known record of each shard.
+/// Newest known previous-term record of each shard.
 pub(super) struct PreviousTerms {
     by_shard: Vec<Option<PreviousTerm>>,
 }
 
 impl PreviousTerms {
-    /// Nothing was read yet, in a cluster with so many shards.
+    /// Creates the table of a cluster with `shards` shards, of which no record has been read yet.
     pub fn new(shards: usize) -> PreviousTerms {
         PreviousTerms { by_shard: vec![None; shards] }
     }
 
-    /// The record of a shard, once it was read.
+    /// Returns the record of a shard, or `None` until it has been read.
     pub fn get(&self, shard: ShardId) -> Option<&PreviousTerm> {
         self.by_shard[shard.0 as usize].as_ref()
     }
 
-    /// Remembers the record of a shard.
+    /// Stores the record of a shard.
     pub fn set(&mut self, shard: ShardId, previous_term: PreviousTerm) {
         self.by_shard[shard.0 as usize] = Some(previous_term);
     }
 
-    /// Takes over the listed record of a shard, or that there is none, unless a newer one is known.
+    /// Stores the listed record of a shard, or that there is none, unless a record at least as new is known.
     pub fn update(&mut self, shard: ShardId, entry: Option<&Entry>) {
         let version = entry.map_or(Revision(0), |entry| entry.version);
         if self.get(shard).is_some_and(|previous_term| previous_term.version >= version) {
--- a/src/coordination/leadership/readiness.rs
+++ b/src/coordination/leadership/readiness.rs
@@ -1,4 +1,5 @@
-//! What must hold before the first decision of a term, once all records of the shard have been read.
+//! The readiness checks of a new leader, made before the first decision of a term once all records of the shard have
+//! been read.
 
 use crate::coordination::controller::Controller;
 use crate::coordination::shard::Shard;
@@ -6,7 +7,7 @@
 use crate::time::{Span, Time};
 use crowstall_leadership::{Check, ReadinessFacts};
 
-/// The longest pause of this process since it last asked for leadership of a shard.
+/// Monitor of the longest pause of this process since it last requested leadership of a shard.
 #[derive(Default)]
 pub(super) struct PauseMonitor {
     longest: Span,
@@ -18,15 +19,15 @@
         self.longest = self.longest.max(pause);
     }
 
-    /// Forgets the pauses so far.
+    /// Discards the pauses recorded so far.
     pub fn reset(&mut self) {
         self.longest = Span::ZERO;
     }
 }
 
 impl Controller {
-    /// Whether everything holds that is needed before the first decision of a term, now that all records have been
-    /// read. What does not hold is logged, and the term is checked, since most of it waits for that.
+    /// Returns `true` if all required checks before the first decision of a term are passed. Otherwise the outstanding
+    /// checks are logged and leadership is checked again, because most of them wait for a confirmation of the term.
     pub(in crate::coordination) fn is_ready_to_decide(&mut self, id: ShardId) -> bool {
         let Some(outstanding) = self.outstanding_checks(id) else { return false };
         if outstanding.is_empty() {
@@ -55,7 +56,7 @@
         Some(outstanding)
     }
 
-    /// What the readiness checklist goes by. None if the records of the shard have not been read.
+    /// Returns the inputs of the readiness checks, or `None` if the records of the shard have not been read.
     fn readiness_facts(&self, shard: &Shard) -> Option<ReadinessFacts> {
         let read_at = shard.loading.read_at?;
         Some(ReadinessFacts {
@@ -67,7 +68,7 @@
         })
     }
 
-    /// How long the node lease and the leader lease of a shard are still valid, whichever ends first.
+    /// Returns the remaining validity of the node lease or of the leader lease of a shard, whichever ends first.
     fn lease_left(&self, shard: &Shard) -> Span {
         let left_until = |end: Time| end.since(self.now);
         let node_lease_left = self.leadership.node_lease.valid_until().map_or(Span::ZERO, left_until);
@@ -75,7 +76,7 @@
         decision_deadline.map_or(node_lease_left, |deadline| left_until(deadline).min(node_lease_left))
     }
 
-    /// Logs after how long each of the checks held.
+    /// Logs the time from the acquisition of leadership to the passing of each check.
     fn log_readiness(&self, id: ShardId) {
         let Some(shard) = self.shards.get(&id) else { return };
         let times = shard.leadership.checklist.pass_times().map(|(check, passed_after)| match passed_after {
--- a/src/coordination/leadership/step_down_reason.rs
+++ b/src/coordination/leadership/step_down_reason.rs
@@ -1,18 +1,18 @@
-//! Why this node stops leading a shard.
+//! The reasons for which this node stops leading a shard.
 
 use super::operation::ReleaseReason;
 use std::fmt;
 
-/// Why this node stops leading a shard.
+/// Reason for which this node stops leading a shard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::coordination) enum StepDownReason {
     /// Another controller has acquired leadership.
     TermReplaced,
-    /// The node lease that the shard's record is bound to has expired.
+    /// The node lease to which the shard's leadership record is attached has expired.
     NodeLeaseExpired,
     /// Leadership was handed over to a peer.
     HandedOver,
-    /// This node is isolated, so it has released leadership.
+    /// Leadership was released because this node is isolated.
     Isolated,
 }
 
@@ -30,8 +30,8 @@
         f.write_str(match self {
             StepDownReason::TermReplaced => "another controller has acquired leadership",
             StepDownReason::NodeLeaseExpired => "the node lease has expired",
-            StepDownReason::HandedOver => "handed over",
-            StepDownReason::Isolated => "this controller is isolated",
+            StepDownReason::HandedOver => "leadership was handed over to a peer",
+            StepDownReason::Isolated => "this controller is isolated from its peers and workers",
         })
     }
 }
--- a/src/coordination/replica.rs
+++ b/src/coordination/replica.rs
@@ -1,8 +1,9 @@
 //! The replica: a copy of the job and machine records, kept by the node that would be the first to replace the leader
-//! of a shard, so that little is left to read after leadership was acquired.
+//! of a shard, so that little has to be read after leadership was acquired.
 //!
-//! The copy is made through the watch of the state service, never from what the leader says. It counts for a term once
-//! it is synced with the revision at which leadership was acquired, and once the term was seen to stand after that.
+//! The copy is made through the watch of the state service, never from messages of the leader. A new leader uses it
+//! only after it is synced up to the revision at which leadership was acquired and a later leadership check has
+//! confirmed the term.
 
 use super::controller::Controller;
 use super::leadership_term::LeadershipTerm;
@@ -18,25 +19,25 @@
 use crowstall_leadership::{WatchCache, WatchChange, WatchRequest};
 use serde::de::DeserializeOwned;
 
-/// How long loading a shard waits for the replica to be synced with its term. After that the records are read from the
-/// state service as without a replica.
+/// Time for which the loading of a shard waits until the replica is synced up to the shard's term. After that the
+/// records are read from the state service as without a replica.
 const SYNC_TIMEOUT: Span = Span::millis(400);
-/// How long the replica is kept after another node has become the first that would replace a leader.
+/// Time for which the replica is kept after this node has ceased to be the first that would replace a leader.
 const RETENTION: Span = Span::millis(10_000);
-/// How often the size and the cost of the replica are logged.
+/// Interval at which the size of the replica and the number of its requests are logged.
 const STATUS_LOG_INTERVAL: Span = Span::millis(60_000);
 
-/// The kind of records that a request for the replica is about.
+/// Kind of records that a request for the replica reads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ReplicatedRecords {
-    /// The records of jobs that are queued, running or waiting.
+    /// Records of jobs that are queued, running or waiting for prerequisites.
     Jobs,
-    /// The records of machines.
+    /// Records of machines.
     Machines,
 }
 
 impl ReplicatedRecords {
-    /// What the keys of these records begin with.
+    /// Returns the key prefix of these records.
     fn prefix(self) -> &'static str {
         match self {
             ReplicatedRecords::Jobs => keys::LIVE,
@@ -45,44 +46,44 @@
     }
 }
 
-/// When requests for the replica are sent.
+/// Time at which requests for the replica are sent.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum PollTiming {
-    /// When the next ones are due.
+    /// At the regular interval.
     WhenDue,
-    /// Now, since a shard waits for the replica.
+    /// Immediately, because a shard waits for the replica.
     AtOnce,
 }
 
-/// The copies of the records. Off unless the operators' properties enable the standby and its replica.
+/// Copies of the job and machine records. Disabled unless the operators' properties enable the standby and its replica.
 pub(super) struct Replica {
     enabled: bool,
     jobs: WatchCache<LiveRecord>,
     machines: WatchCache<MachineRecord>,
-    /// When this node last was the first that would replace a leader. None while no replica is kept.
+    /// Time at which this node was last the first that would replace a leader; `None` while no replica is kept.
     last_needed: Option<Time>,
     status_logged_at: Time,
 }
 
-/// A shard whose loading waits for the replica.
+/// Shard whose loading waits for the replica.
 struct WaitingShard {
     leadership: LeadershipTerm,
     deadline: Time,
 }
 
-/// What the replica is worth for a shard that waits for it.
+/// State of the replica relative to the term of a shard that waits for it.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum SyncState {
-    /// It has every change up to the term.
+    /// The replica contains every change up to the term.
     Synced,
-    /// It may be synced before the deadline.
+    /// The replica is not synced up to the term yet, and the deadline has not passed.
     Pending,
-    /// It is empty, or it was not synced in time.
+    /// The replica is empty or still being listed, or it was not synced before the deadline.
     Unusable,
 }
 
 impl Replica {
-    /// An empty replica.
+    /// Creates an empty replica.
     pub fn new(settings: &Settings) -> Replica {
         let properties = &settings.properties.standby;
         Replica {
@@ -94,7 +95,8 @@
         }
     }
 
-    /// The revision up to which both copies have every change. None while a copy is being listed.
+    /// Returns the revision up to which both copies contain every change, or `None` while a copy is empty or being
+    /// listed.
     fn synced_revision(&self) -> Option<Revision> {
         Some(self.jobs.synced_revision()?.min(self.machines.synced_revision()?))
     }
@@ -107,20 +109,20 @@
         }
     }
 
-    /// Begins to copy the records, or keeps doing so.
+    /// Starts the copies, or continues them if they have been started.
     fn start(&mut self, now: Time) {
         if self.last_needed.is_none() {
-            log::info!("replica: started copying job and machine records");
+            log::info!("replica: started, since this node would be the first to replace a leader");
         }
         self.last_needed = Some(now);
         self.jobs.start(now);
         self.machines.start(now);
     }
 
-    /// Forgets the records.
+    /// Stops the copies and discards the records.
     fn stop(&mut self) {
         if self.last_needed.take().is_some() {
-            log::info!("replica: stopped copying job and machine records");
+            log::info!("replica: stopped, its job and machine records are discarded");
         }
         self.jobs.stop();
         self.machines.stop();
@@ -131,7 +133,7 @@
         self.last_needed.is_none_or(|last_needed| now.since(last_needed) >= RETENTION)
     }
 
-    /// The requests to send now. They count as in flight from here on.
+    /// Returns the requests to send now and marks them as in flight.
     fn next_requests(&mut self, now: Time, timing: PollTiming) -> Vec<(ReplicatedRecords, WatchRequest)> {
         let at_once = timing == PollTiming::AtOnce;
         let jobs = self.jobs.next_request(now, at_once).map(|request| (ReplicatedRecords::Jobs, request));
@@ -153,7 +155,7 @@
         self.status_logged_at = now;
         let (jobs, machines) = (self.jobs.statistics(), self.machines.statistics());
         log::info!(
-            "replica: {} jobs and {} machines at revision {}; {} requests, {} records read, {} restarts",
+            "replica: {} jobs and {} machines at revision {}; {} requests sent, {} records received, {} restarts",
             self.jobs.len(),
             self.machines.len(),
             self.synced_revision().map_or("none".to_string(), |revision| revision.to_string()),
@@ -164,7 +166,7 @@
     }
 }
 
-/// Takes an answer of the state service into a copy.
+/// Applies an answer of the state service to a copy.
 fn apply_answer<R: DeserializeOwned>(copy: &mut WatchCache<R>, answer: StateResult, now: Time) {
     match answer {
         Ok(StateAnswer::Page { entries, more, revision }) => {
@@ -199,10 +201,10 @@
 }
 
 impl Controller {
-    /// Keeps the replica while this node would be the first to replace the leader of a shard, and loads the shards
+    /// Maintains the replica while this node would be the first to replace the leader of a shard, and loads the shards
     /// that wait for it.
     pub(super) fn replica_tick(&mut self) {
-        // Before the peers were heard every node would take itself for the first.
+        // Until heartbeats from the peers have arrived, every node would consider itself the first.
         if !self.replica.enabled || self.now.since(self.started) < PEER_TIMEOUT {
             return;
         }
@@ -217,7 +219,7 @@
         self.load_from_replica();
     }
 
-    /// Whether this node would be the first to replace the leader of a shard that takes the teams' jobs.
+    /// Returns `true` if this node would be the first to replace the leader of a shard that accepts the teams' jobs.
     fn is_first_successor(&self) -> bool {
         let mut shards = (0..self.settings.team_shards()).map(ShardId);
         shards.any(|shard| {
@@ -226,12 +228,12 @@
         })
     }
 
-    /// Whether the loading of a shard waits for the replica.
+    /// Returns `true` if the loading of a shard waits for the replica.
     fn is_waiting_for_replica(&self) -> bool {
         self.shards.values().any(|shard| shard.loading.replica_wait_until.is_some())
     }
 
-    /// Asks for the changes of the records.
+    /// Sends the requests for the replica that are due and admitted.
     fn poll_replica(&mut self, timing: PollTiming) {
         if timing == PollTiming::WhenDue && !self.admits(TrafficClass::BackgroundRead) {
             return;
@@ -247,7 +249,7 @@
         }
     }
 
-    /// Takes an answer of the state service into the replica.
+    /// Applies an answer of the state service to the replica, and loads the shards that wait for it.
     pub(super) fn replica_answered(&mut self, records: ReplicatedRecords, answer: StateResult) {
         self.replica.answered(records, answer, self.now);
         if self.is_waiting_for_replica() {
@@ -256,7 +258,7 @@
         }
     }
 
-    /// Begins to load a shard whose leadership was just acquired: from the replica, if there is one.
+    /// Starts to load a shard whose leadership was just acquired, from the replica if both of its copies are listed.
     pub(super) fn load_records(&mut self, leadership: LeadershipTerm) {
         let id = leadership.shard;
         if self.replica.synced_revision().is_none() {
@@ -265,13 +267,13 @@
         if let Some(shard) = self.shards.get_mut(&id) {
             shard.loading.replica_wait_until = Some(self.now + SYNC_TIMEOUT);
         }
-        // A request in flight may be answered with what was there before the acquisition, so if there is one the
-        // next request follows once it is answered.
+        // The answer to a request in flight may contain only changes made before the acquisition. If there is one, the
+        // next request is sent once it is answered.
         self.poll_replica(PollTiming::AtOnce);
     }
 
-    /// Loads the shards with whose terms the replica is synced, and reads the records of those that have waited for
-    /// too long from the state service.
+    /// Loads the waiting shards up to whose terms the replica is synced. The records of shards for which the replica is
+    /// unusable are read from the state service.
     fn load_from_replica(&mut self) {
         for shard in self.shards_waiting_for_replica() {
             let leadership = shard.leadership;
@@ -304,7 +306,7 @@
         waiting.collect()
     }
 
-    /// Loads a shard from the replica, which is synced with its term.
+    /// Loads a shard from the replica, which is synced up to the shard's term.
     fn load_shard_from_replica(&mut self, leadership: LeadershipTerm) {
         let id = leadership.shard;
         let Some(shard) = self.shards.get_mut(&id) else { return };
