--- a/src/coordination/leadership/readiness.rs
+++ b/src/coordination/leadership/readiness.rs
@@ -35,8 +35,7 @@
             return true;
         }
         let names: Vec<String> = outstanding.iter().map(Check::to_string).collect();
-        let checks = names.join(", ");
-        log::debug!("shard {id}: not ready for the first decision of the term, checks not passed: {checks}");
+        log::debug!("shard {id}: not ready for the first decision, checks not passed: {}", names.join(", "));
         self.check_leadership(id);
         false
     }
@@ -83,9 +82,9 @@
             Some(passed_after) => format!("{check}: {} ms", passed_after.as_millis()),
             None => format!("{check}: not passed"),
         });
-        let checks = times.collect::<Vec<_>>().join("; ");
         log::info!(
-            "shard {id}: ready for the first decision of the term; time from acquisition to each check: {checks}"
+            "shard {id}: ready for the first decision of the term; time from acquisition to each check: {}",
+            times.collect::<Vec<_>>().join("; ")
         );
     }
 }
