--- a/crates/leadership/src/cancellation.rs
+++ b/crates/leadership/src/cancellation.rs
@@ -50,7 +50,7 @@
 
     /// Returns the longest time for which a task can remain on a machine: until the last renewed worker lease has
     /// expired and the worker has noticed the expiry.
-    pub fn gone_within(&self, lease_source: LeaseSource) -> Span {
+    pub fn max_removal_time(&self, lease_source: LeaseSource) -> Span {
         let last_renewal = match lease_source {
             LeaseSource::Leader => Span::ZERO,
             LeaseSource::FormerLeader => self.grace().stretched(),
@@ -60,6 +60,6 @@
 
     /// Returns `true` if these settings allow the bound on cancelled tasks to be kept.
     pub fn can_be_kept(&self) -> bool {
-        LeaseSource::ALL.into_iter().all(|lease_source| self.gone_within(lease_source) <= self.within)
+        LeaseSource::ALL.into_iter().all(|lease_source| self.max_removal_time(lease_source) <= self.within)
     }
 }
--- a/crates/leadership/src/membership.rs
+++ b/crates/leadership/src/membership.rs
@@ -39,7 +39,7 @@
 #[derive(Clone, Debug)]
 pub struct Peer {
     /// Arrival time of the peer's newest heartbeat.
-    pub seen: Time,
+    pub last_heartbeat_at: Time,
     /// Time since which the peer has been ready without interruption; `None` if it is not ready.
     pub ready_since: Option<Time>,
     /// State that the peer reported in its newest heartbeat.
@@ -49,13 +49,13 @@
 impl Peer {
     /// Returns `true` if a heartbeat of the peer arrived within [`PEER_TIMEOUT`].
     pub fn is_reachable(&self, now: Time) -> bool {
-        now.since(self.seen) < PEER_TIMEOUT
+        now.since(self.last_heartbeat_at) < PEER_TIMEOUT
     }
 
     /// Returns the longest time for which the state service may not have answered the peer by now, on the assumption
     /// that the peer has received no answer since it sent its newest heartbeat.
     pub fn state_silence(&self, now: Time) -> Span {
-        self.peer_status.state_silence + now.since(self.seen)
+        self.peer_status.state_silence + now.since(self.last_heartbeat_at)
     }
 
     fn is_ready_to_lead(&self, now: Time) -> bool {
@@ -212,7 +212,7 @@
         for leadership in &mut self.shards {
             leadership.detect_false_suspicion(&node, peer_status.incarnation, now);
         }
-        self.peers.insert(node, Peer { seen: now, ready_since, peer_status });
+        self.peers.insert(node, Peer { last_heartbeat_at: now, ready_since, peer_status });
     }
 
     /// Records the content of a shard's leadership record. The record is ignored if a newer term is known.
@@ -265,11 +265,11 @@
     /// Returns the time of a node's last sign of life: a heartbeat to this node or to a reachable peer, or a write of
     /// its liveness record. Returns `None` if no heartbeat of that node ever reached this node.
     pub fn last_alive(&self, node: &NodeLabel, now: Time) -> Option<Time> {
-        let own_last_heartbeat = self.peers.get(node)?.seen;
+        let own_last_heartbeat = self.peers.get(node)?.last_heartbeat_at;
         let other_peers = self.reachable_peers(now).filter(|(other, _)| *other != node);
         let last_heartbeats_at_peers = other_peers.filter_map(|(_, peer)| {
             let (_, age) = peer.peer_status.peer_ages.iter().find(|(sender, _)| sender == node)?;
-            Some(peer.seen - *age)
+            Some(peer.last_heartbeat_at - *age)
         });
         let liveness_seen =
             self.shards_led_by(node).filter_map(|(_, leadership)| leadership.liveness.map(|known| known.seen_at));
@@ -278,7 +278,7 @@
 
     /// Returns the time since the newest heartbeat of each of the peers arrived.
     pub fn peer_ages(&self, now: Time) -> Vec<(NodeLabel, Span)> {
-        self.peers.iter().map(|(node, peer)| (node.clone(), now.since(peer.seen))).collect()
+        self.peers.iter().map(|(node, peer)| (node.clone(), now.since(peer.last_heartbeat_at))).collect()
     }
 
     /// Returns `true` if heartbeats between this node and at least one other controller have not arrived, in either
@@ -287,7 +287,7 @@
         let is_reached = |peer: &Peer| {
             peer.peer_status.peer_ages.iter().any(|(node, age)| *node == self.this_node && *age < timeout)
         };
-        let is_connected = |peer: &Peer| now.since(peer.seen) < timeout && is_reached(peer);
+        let is_connected = |peer: &Peer| now.since(peer.last_heartbeat_at) < timeout && is_reached(peer);
         let mut other_nodes = self.zones.keys().filter(|node| **node != self.this_node);
         other_nodes.any(|node| !self.peers.get(node).is_some_and(is_connected))
     }
--- a/crates/leadership/tests/cancellation.rs
+++ b/crates/leadership/tests/cancellation.rs
@@ -28,7 +28,7 @@
         let gone = last_renewal + worker_lease.as_secs() * slow + 1.0;
         assert!(gone <= within.as_secs(), "{bounds:?}: {gone}");
         assert!(
-            LeaseSource::ALL.into_iter().all(|lease_source| bounds.gone_within(lease_source) <= within),
+            LeaseSource::ALL.into_iter().all(|lease_source| bounds.max_removal_time(lease_source) <= within),
             "{bounds:?}"
         );
     }
--- a/crates/leadership/tests/membership.rs
+++ b/crates/leadership/tests/membership.rs
@@ -39,7 +39,10 @@
     };
     table.record_heartbeat_from(label(from), peer_status, now);
     if let Some(last_alive) = table.last_alive(&third_node, now) {
-        assert!(last_alive <= now && last_alive >= table.peer(&third_node).map_or(Time::ZERO, |peer| peer.seen));
+        assert!(
+            last_alive <= now
+                && last_alive >= table.peer(&third_node).map_or(Time::ZERO, |peer| peer.last_heartbeat_at)
+        );
     }
 }
 
--- a/src/coordination/leadership/failure_detection.rs
+++ b/src/coordination/leadership/failure_detection.rs
@@ -132,7 +132,7 @@
     fn observe_leader(&self, node: &NodeLabel, led_shards: &[ShardId]) -> Option<LeaderObservation> {
         let now = self.now;
         let terms = led_shards.iter().filter_map(|shard| self.membership.leadership(*shard));
-        let peer = self.membership.peer(node).filter(|peer| now.since(peer.seen) < STATE_SILENCE_VALIDITY);
+        let peer = self.membership.peer(node).filter(|peer| now.since(peer.last_heartbeat_at) < STATE_SILENCE_VALIDITY);
         Some(LeaderObservation {
             last_alive: self.membership.last_alive(node, now)?,
             state_silence: peer.map(|peer| peer.peer_status.state_silence),
