--- a/crates/leadership/src/readiness.rs
+++ b/crates/leadership/src/readiness.rs
@@ -1,34 +1,35 @@
-//! The readiness checklist: what a new leader checks before its first decision, and when each check was passed.
+//! The readiness checklist: the conditions that a new leader checks before its first decision.
 
 use crowstall_model::time::{Span, Time};
 use std::fmt;
 
-/// A leader lease that ends sooner than this is renewed before the first decision.
+/// Minimum remaining time of the node lease and of the leader lease at the first decision. A lease that ends sooner is
+/// renewed first.
 const MIN_LEASE_LEFT: Span = Span::millis(300);
-/// After a longer pause than this the leadership is checked again before the first decision.
+/// Pause of this process from which on leadership is checked again before the first decision.
 const MAX_PAUSE: Span = Span::millis(1000);
 
-/// One condition on the checklist.
+/// Condition on the readiness checklist.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Check {
-    /// The term stood after all records had been read, so they include all writes of former leaders.
+    /// The term was in force after all records had been read, so the records include all writes of former leaders.
     LeadershipConfirmed,
-    /// The leader lease is valid for some more time.
+    /// The node lease and the leader lease remain valid for at least 300 ms.
     LeaderLease,
-    /// This process has not been paused since it acquired the leadership.
+    /// No pause of this process has lasted 1000 ms or longer since it requested leadership.
     NoLongPause,
-    /// All former leaders applied the same team limits as this node.
-    SameTeamLimits,
+    /// All former leaders applied the same team quotas as this node.
+    SameTeamQuotas,
     /// The machine types are known.
     Catalog,
 }
 
 const ALL_CHECKS: [Check; 5] =
-    [Check::LeadershipConfirmed, Check::LeaderLease, Check::NoLongPause, Check::SameTeamLimits, Check::Catalog];
+    [Check::LeadershipConfirmed, Check::LeaderLease, Check::NoLongPause, Check::SameTeamQuotas, Check::Catalog];
 
 impl Check {
-    /// Whether nothing may be decided until the check is passed. The other checks only restrict some decisions, and
-    /// the code that makes those decisions takes them into account.
+    /// Returns `true` if no decision may be made until the check is passed. The other checks restrict only some
+    /// decisions, and the code that makes those decisions takes them into account.
     pub fn is_required(self) -> bool {
         matches!(self, Check::LeadershipConfirmed | Check::LeaderLease | Check::NoLongPause)
     }
@@ -38,8 +39,8 @@
             Check::LeadershipConfirmed => facts.leadership_confirmed,
             Check::LeaderLease => facts.lease_left >= MIN_LEASE_LEFT,
             Check::NoLongPause => facts.longest_pause < MAX_PAUSE,
-            Check::SameTeamLimits => facts.same_limits,
-            Check::Catalog => facts.catalog,
+            Check::SameTeamQuotas => facts.same_quotas,
+            Check::Catalog => facts.catalog_known,
         }
     }
 }
@@ -50,32 +51,32 @@
             Check::LeadershipConfirmed => "leadership confirmed after the records were read",
             Check::LeaderLease => "leader lease valid",
             Check::NoLongPause => "process not paused",
-            Check::SameTeamLimits => "same team limits as former leaders",
+            Check::SameTeamQuotas => "same team quotas as former leaders",
             Check::Catalog => "machine types known",
         })
     }
 }
 
-/// What is known when the checks are made.
+/// Inputs of the checks.
 #[derive(Clone, Copy, Debug)]
 pub struct ReadinessFacts {
-    /// Whether a leadership check sent after the last read has confirmed the term.
+    /// `true` if a leadership check sent after the last read has confirmed the term.
     pub leadership_confirmed: bool,
-    /// How much longer the leader lease is valid.
+    /// Remaining validity of the node lease or of the leader lease, whichever ends first.
     pub lease_left: Span,
-    /// The longest pause between two ticks since the leadership was acquired.
+    /// Longest pause between two ticks since leadership was requested.
     pub longest_pause: Span,
-    /// Whether all former leaders applied the same team limits as this node.
-    pub same_limits: bool,
-    /// Whether the catalog of machine types is known.
-    pub catalog: bool,
+    /// `true` if all former leaders applied the same team quotas as this node.
+    pub same_quotas: bool,
+    /// `true` if the catalog of machine types is known.
+    pub catalog_known: bool,
 }
 
-/// The checklist of one leadership term.
+/// Readiness checklist of one leadership term.
 #[derive(Clone, Debug)]
 pub struct ReadinessChecklist {
     acquired_at: Time,
-    /// Since when each check, by its discriminant, has been passed.
+    /// Time since which each check has been passed, indexed by the check's discriminant; `None` if it is not passed.
     passed_at: [Option<Time>; ALL_CHECKS.len()],
 }
 
@@ -85,18 +86,19 @@
         ReadinessChecklist { acquired_at, passed_at: [None; ALL_CHECKS.len()] }
     }
 
-    /// Makes all checks and returns the required ones that are not passed.
-    pub fn missing(&mut self, now: Time, facts: &ReadinessFacts) -> Vec<Check> {
+    /// Evaluates all checks and returns the required ones that are not passed.
+    pub fn evaluate(&mut self, now: Time, facts: &ReadinessFacts) -> Vec<Check> {
         for check in ALL_CHECKS {
             let passed_at = &mut self.passed_at[check as usize];
             *passed_at = if check.is_passed(facts) { passed_at.or(Some(now)) } else { None };
         }
-        let is_missing = |check: &Check| check.is_required() && !check.is_passed(facts);
-        ALL_CHECKS.into_iter().filter(is_missing).collect()
+        let is_outstanding = |check: &Check| check.is_required() && !check.is_passed(facts);
+        ALL_CHECKS.into_iter().filter(is_outstanding).collect()
     }
 
-    /// Returns every check with the time from the beginning of the term until the check was passed, if it is.
-    pub fn times(&self) -> impl Iterator<Item = (Check, Option<Span>)> + '_ {
+    /// Returns every check with the time from the beginning of the term until the check was passed, or `None` if it is
+    /// not passed.
+    pub fn pass_times(&self) -> impl Iterator<Item = (Check, Option<Span>)> + '_ {
         let elapsed = |check: Check| self.passed_at[check as usize].map(|at| at.since(self.acquired_at));
         ALL_CHECKS.into_iter().map(move |check| (check, elapsed(check)))
     }
