--- a/src/coordination/boot_statistics.rs
+++ b/src/coordination/boot_statistics.rs
@@ -1,7 +1,8 @@
-//! Boot statistics: how the boots of rented machines went lately, by machine type and zone, and which machines are
-//! overdue.
+//! Boot statistics: outcomes of the recent boots of rented machines by machine type and zone, and detection of overdue
+//! machines.
 //!
-//! The boot times of the catalog hold on most days. At times machines boot late, all at once or not at all.
+//! Machines usually boot within the boot time in the cloud's catalog. At times, though, they boot late, all at the same
+//! moment, or never.
 
 use super::controller::Controller;
 use super::shard::Booting;
@@ -9,54 +10,55 @@
 use crate::time::{Span, Time};
 use std::collections::{HashMap, VecDeque};
 
-/// For how long the outcome of a boot counts.
+/// Time for which the outcome of a boot counts.
 const OBSERVATION_PERIOD: Span = Span::millis(120_000);
-/// From how many boots on anything is concluded.
+/// Minimum number of recent boots on which a conclusion is based.
 const MIN_BOOTS: usize = 3;
-/// If a smaller share of boots was in time, machines of the type are to be avoided in the zone.
+/// Fraction of boots in time below which machines of the type are avoided in the zone.
 const MIN_RELIABLE_SHARE: f64 = 0.5;
-/// If a smaller share of boots was in time, the zone's machines boot late or never.
+/// Fraction of boots in time below which the zone's machines count as booting late or never.
 const MIN_SHARE_IN_TIME: f64 = 0.15;
 
-/// A machine is overdue after this many times the catalog's boot time and [`OVERDUE_MARGIN`].
+/// Multiple of the catalog's boot time after which, with [`OVERDUE_MARGIN`] added, a machine is overdue.
 const OVERDUE_BOOT_TIMES: f64 = 1.8;
-/// See [`OVERDUE_BOOT_TIMES`].
+/// Time added to [`OVERDUE_BOOT_TIMES`] boot times.
 const OVERDUE_MARGIN: Span = Span::millis(5000);
-/// An overdue machine is given up after this many times the boot time and [`GIVE_UP_MARGIN`].
+/// Multiple of the boot time after which, with [`GIVE_UP_MARGIN`] added, an overdue machine is deleted.
 const GIVE_UP_BOOT_TIMES: f64 = 2.5;
-/// See [`GIVE_UP_BOOT_TIMES`].
+/// Time added to [`GIVE_UP_BOOT_TIMES`] boot times.
 const GIVE_UP_MARGIN: Span = Span::millis(10_000);
-/// The same where all machines of the type boot late: one rented instead would be late as well.
+/// Multiple of the boot time after which, with [`GIVE_UP_MARGIN_IF_ALL_LATE`] added, an overdue machine is deleted
+/// while all machines of the type boot late. It is longer, since a machine rented instead would be late as well.
 const GIVE_UP_BOOT_TIMES_IF_ALL_LATE: f64 = 6.0;
-/// See [`GIVE_UP_BOOT_TIMES_IF_ALL_LATE`].
+/// Time added to [`GIVE_UP_BOOT_TIMES_IF_ALL_LATE`] boot times.
 const GIVE_UP_MARGIN_IF_ALL_LATE: Span = Span::millis(30_000);
-/// Where all machines of the type boot late, an overdue one counts as capacity for this many times the boot time and
-/// [`AWAITED_MARGIN`].
+/// Multiple of the boot time for which, with [`AWAITED_MARGIN`] added, an overdue machine counts as capacity while all
+/// machines of the type boot late.
 const AWAITED_BOOT_TIMES: f64 = 5.0;
-/// See [`AWAITED_BOOT_TIMES`].
+/// Time added to [`AWAITED_BOOT_TIMES`] boot times.
 const AWAITED_MARGIN: Span = Span::millis(10_000);
 
-/// The outcomes of the newest boots.
+/// Outcomes of the recent boots.
 #[derive(Default)]
 pub(super) struct BootStatistics {
-    /// The outcomes by machine type and zone, the oldest first.
+    /// Outcomes by machine type and zone, the oldest first.
     boots: HashMap<BootClass, VecDeque<BootOutcome>>,
 }
 
-/// The machine type and the zone that a boot tells about.
+/// Machine type and zone, by which boots are counted.
 #[derive(PartialEq, Eq, Hash)]
 struct BootClass {
-    /// The machine type.
+    /// Machine type.
     kind: Name,
-    /// The zone.
+    /// Zone.
     zone: Name,
 }
 
-/// The outcome of one boot.
+/// Outcome of one boot.
 struct BootOutcome {
-    /// When the outcome became known.
+    /// Time at which the outcome became known.
     at: Time,
-    /// Whether the machine came up before it was overdue.
+    /// `true` if the machine came up before it was overdue.
     in_time: bool,
 }
 
@@ -70,7 +72,7 @@
         }
     }
 
-    /// The share of the newest boots that were in time; `None` if there were too few.
+    /// Returns the fraction of the recent boots that were in time, or `None` if there were fewer than [`MIN_BOOTS`].
     fn share_in_time(&self, kind: &Name, zone: &Name, now: Time) -> Option<f64> {
         let boots = self.boots.get(&BootClass { kind: kind.clone(), zone: zone.clone() })?;
         let recent = || boots.iter().filter(|boot| now.since(boot.at) <= OBSERVATION_PERIOD);
@@ -79,25 +81,26 @@
         (count >= MIN_BOOTS).then(|| in_time as f64 / count as f64)
     }
 
-    /// Whether most machines of the type did not boot in time in the zone, so that others are to be preferred.
+    /// Returns `true` if most machines of the type did not boot in time in the zone recently, so that other machines
+    /// are preferred.
     pub fn is_bad(&self, kind: &Name, zone: &Name, now: Time) -> bool {
         self.share_in_time(kind, zone, now).is_some_and(|share| share < MIN_RELIABLE_SHARE)
     }
 
-    /// Whether hardly any machine of the type boots in time in any zone. Machines that are rented in place of late ones
-    /// would be late as well.
+    /// Returns `true` if hardly any machine of the type boots in time in any zone. Machines rented in place of late
+    /// ones would then be late as well.
     fn all_late(&self, kind: &MachineType, now: Time) -> bool {
         let is_late = |zone| self.share_in_time(&kind.name, zone, now).is_some_and(|share| share < MIN_SHARE_IN_TIME);
         kind.zones.iter().all(is_late)
     }
 }
 
-/// After how long a machine that is not up is overdue.
+/// Returns the time since its rental after which a machine that is not up is overdue.
 fn overdue_after(kind: &MachineType) -> Span {
     kind.boot.times(OVERDUE_BOOT_TIMES) + OVERDUE_MARGIN
 }
 
-/// After how long an overdue machine is given up.
+/// Returns the time since its rental after which an overdue machine is deleted.
 fn given_up_after(kind: &MachineType, all_late: bool) -> Span {
     if all_late {
         kind.boot.times(GIVE_UP_BOOT_TIMES_IF_ALL_LATE) + GIVE_UP_MARGIN_IF_ALL_LATE
@@ -107,7 +110,7 @@
 }
 
 impl Controller {
-    /// Finds booting machines that are overdue, and gives up those that were waited for long enough.
+    /// Marks booting machines that are overdue, and marks those that have been overdue for too long for deletion.
     pub(super) fn check_boots(&mut self, id: ShardId) {
         let now = self.now;
         let Some(shard) = self.shards.get_mut(&id) else { return };
@@ -116,17 +119,23 @@
             let Some(kind) = types.get(&machine.kind) else { continue };
             let age = now.since(machine.since);
             if age > overdue_after(kind) && !machine.overdue {
-                log::debug!("machine {machine_id} ({}, {}) is overdue", machine.kind, machine.zone);
+                log::debug!(
+                    "machine {machine_id} ({}, {}): not up {:.1} s after it was rented; counting the boot as overdue",
+                    machine.kind,
+                    machine.zone,
+                    age.as_secs()
+                );
                 machine.overdue = true;
                 statistics.record(&machine.kind, &machine.zone, false, now);
             }
-            // No machine is given up before it is overdue, so the statistics of the others need not be read.
+            // No machine is deleted before it is overdue, so the statistics need not be read for the others.
             machine.deleting |= machine.overdue && age > given_up_after(kind, statistics.all_late(kind, now));
         }
     }
 
-    /// Whether a booting machine counts as capacity. An overdue one may never come up, so it does not count and is
-    /// replaced elsewhere; but where all machines boot late it does, or ever more machines would be rented.
+    /// Returns `true` if a booting machine counts as capacity. An overdue machine may never come up, so it does not
+    /// count and a replacement is rented. If all machines of the type boot late, it counts for some time; otherwise
+    /// ever more machines would be rented.
     pub(super) fn is_awaited(&self, machine: &Booting) -> bool {
         let Some(kind) = self.cloud.machine_type(&machine.kind) else { return false };
         let awaited_until = machine.since + (kind.boot.times(AWAITED_BOOT_TIMES) + AWAITED_MARGIN);
--- a/src/coordination/cloud.rs
+++ b/src/coordination/cloud.rs
@@ -1,5 +1,5 @@
-//! What is known of the cloud, within its rate limit: the catalog, the machine list, refusals and boots. Answers of the
-//! cloud are passed to the component that made the call.
+//! Cached state of the cloud: its catalog, its machine list, refusals and boot statistics. Calls are limited to this
+//! node's share of the cloud's rate limit. Answers of the cloud are dispatched to the component that made the call.
 
 use super::boot_statistics::BootStatistics;
 use super::controller::Controller;
@@ -14,51 +14,52 @@
 use crowstall_reconciliation::MachineClass;
 use std::collections::{BTreeMap, HashMap};
 
-/// How often the catalog is read.
+/// Interval at which the catalog is read.
 const CATALOG_INTERVAL: Span = Span::millis(60_000);
-/// The same until it has been read once.
+/// Interval at which the catalog is requested until it has been read once.
 const FIRST_CATALOG_INTERVAL: Span = Span::millis(400);
-/// How long a class of machines is not requested again after the cloud had none; doubled with each refusal.
+/// Time for which a class of machines is not requested again after the cloud had none; doubled with each further
+/// refusal.
 const REFUSAL_BACKOFF: Span = Span::millis(6_000);
-/// How many times that is doubled at the most.
+/// Maximum number of times that [`REFUSAL_BACKOFF`] is doubled.
 const MAX_REFUSAL_DOUBLINGS: u32 = 3;
-/// How many seconds' worth of calls the cloud allows at once.
+/// Burst of calls that the cloud allows at once, in seconds of this node's rate.
 const BURST_SECONDS: f64 = 2.0;
 
-/// What is known of the cloud.
+/// Cached state of the cloud.
 pub(super) struct Cloud {
-    /// The catalog of machine types, in the cloud's order; `None` until it has been read.
+    /// Machine types in the order of the cloud's catalog; `None` until the catalog has been read.
     catalog: Option<Vec<MachineType>>,
-    /// The machine types by name.
+    /// Machine types by name.
     types: HashMap<Name, MachineType>,
-    /// When the catalog was last requested.
+    /// Time at which the catalog was last requested.
     catalog_requested_at: Option<Time>,
-    /// A call that reads the catalog is in flight.
+    /// `true` while a call that reads the catalog is in flight.
     catalog_in_flight: bool,
-    /// The machines that the cloud lists.
+    /// Machines that the cloud lists.
     machine_list: MachineList,
-    /// This node's share of the cloud's limit on calls.
+    /// Limiter for this node's share of the cloud's rate limit.
     rate_limiter: RateLimiter,
-    /// The classes of machines that the cloud did not have lately.
+    /// Classes of machines that the cloud refused recently.
     refusals: BTreeMap<MachineClass, Refusal>,
-    /// When the fleet was last planned; zero if it has to be planned at once.
+    /// Time at which the fleet was last planned; zero if it has to be planned at once.
     planned_at: Time,
-    /// A call that deletes machines of no shard is in flight.
+    /// `true` while a call that deletes machines of no shard is in flight.
     deletes_unknown: bool,
-    /// How the boots of machines went lately.
+    /// Outcomes of the recent boots of machines.
     boot_statistics: BootStatistics,
 }
 
-/// A class of machines that the cloud did not have.
+/// Refusal of a class of machines by the cloud.
 struct Refusal {
-    /// Until when machines of the class are not requested again.
+    /// Time until which machines of the class are not requested again.
     until: Time,
-    /// How many times they were refused one after another.
+    /// Number of consecutive refusals.
     count: u32,
 }
 
 impl Cloud {
-    /// Nothing is known yet.
+    /// Creates the state before anything is known of the cloud.
     pub fn new(settings: &Settings) -> Cloud {
         Cloud {
             catalog: None,
@@ -74,7 +75,7 @@
         }
     }
 
-    /// Whether the catalog of machine types has been read.
+    /// Returns `true` if the catalog of machine types has been read.
     pub fn has_catalog(&self) -> bool {
         self.catalog.is_some()
     }
@@ -94,43 +95,43 @@
         self.types.get(kind)
     }
 
-    /// Returns what is known of the machines that the cloud lists.
+    /// Returns the machines that the cloud lists.
     pub fn machine_list(&self) -> &MachineList {
         &self.machine_list
     }
 
-    /// Returns what is known of the machines that the cloud lists, to read the list further.
+    /// Returns the machines that the cloud lists, to read the list further.
     pub fn machine_list_mut(&mut self) -> &mut MachineList {
         &mut self.machine_list
     }
 
-    /// Returns how the boots of machines went lately.
+    /// Returns the outcomes of the recent boots of machines.
     pub fn boot_statistics(&self) -> &BootStatistics {
         &self.boot_statistics
     }
 
-    /// Returns how the boots of machines went lately, to record another one.
+    /// Returns the outcomes of the recent boots of machines, to record another one.
     pub fn boot_statistics_mut(&mut self) -> &mut BootStatistics {
         &mut self.boot_statistics
     }
 
-    /// Returns the machine types by name together with how the boots of machines went lately, to record boots while
-    /// the types are read.
+    /// Returns the machine types by name and the outcomes of the recent boots, to record boots while the types are
+    /// read.
     pub fn types_and_boot_statistics_mut(&mut self) -> (&HashMap<Name, MachineType>, &mut BootStatistics) {
         (&self.types, &mut self.boot_statistics)
     }
 
-    /// Takes a call from this node's share of the rate limit. Returns whether the call may be made.
+    /// Takes one call from this node's share of the rate limit. Returns `true` if the call may be made.
     pub fn take_call(&mut self, now: Time) -> bool {
         self.rate_limiter.take(now, 1.0)
     }
 
-    /// Whether at least the given share of the calls that the cloud allows at once is left.
+    /// Returns `true` if at least the given fraction of the calls that the cloud allows at once is left.
     pub fn has_spare_calls(&mut self, share: f64, now: Time) -> bool {
         self.rate_limiter.is_filled_to(now, share)
     }
 
-    /// Whether a call that deletes machines of no shard is in flight.
+    /// Returns `true` if a call that deletes machines of no shard is in flight.
     pub fn is_deleting_unknown(&self) -> bool {
         self.deletes_unknown
     }
@@ -145,8 +146,8 @@
         self.deletes_unknown = false;
     }
 
-    /// Begins to plan the fleet if the catalog is known and the fleet was last planned at least `pause` ago. Returns
-    /// whether the fleet is to be planned.
+    /// Begins a plan if the catalog is known and the fleet was last planned at least `pause` ago. Returns `true` if the
+    /// fleet is to be planned now.
     pub fn begin_plan(&mut self, pause: Span, now: Time) -> bool {
         let is_due = self.has_catalog() && now.since(self.planned_at) >= pause;
         if is_due {
@@ -155,22 +156,22 @@
         is_due
     }
 
-    /// What a machine of the given type has room for, if the type is known.
+    /// Returns the resources of a machine of the given type, if the type is known.
     pub fn room(&self, kind: &Name) -> Option<Resources> {
         self.machine_type(kind).map(|kind| kind.room)
     }
 
-    /// How many seconds fetching an image takes on the quickest machine type; `f64::MAX` if no type is known.
+    /// Returns the time in seconds in which the fastest machine type fetches an image; `f64::MAX` if no type is known.
     pub fn least_fetch(&self, image_gb: f64) -> f64 {
         self.types.values().map(|kind| image_gb / kind.fetch_gb_per_s).fold(f64::MAX, f64::min)
     }
 
-    /// Sets how many calls a second this node may make.
+    /// Sets the number of calls per second that this node may make.
     pub fn set_share(&mut self, rate: f64) {
         self.rate_limiter.set_rate(rate, BURST_SECONDS * rate);
     }
 
-    /// Whether machines of the class were refused lately, so that they are not requested now.
+    /// Returns `true` if machines of the class were refused recently and are not to be requested now.
     pub fn is_refused(&self, class: &MachineClass, now: Time) -> bool {
         self.refusals.get(class).is_some_and(|refusal| now < refusal.until)
     }
@@ -187,12 +188,12 @@
         self.refusals.remove(class);
     }
 
-    /// Has the fleet planned at the next tick, since what can be rented has changed.
+    /// Requests a plan of the fleet at the next tick, since the machines that can be rented have changed.
     pub fn request_plan(&mut self) {
         self.planned_at = Time::ZERO;
     }
 
-    /// Whether it is time to read the catalog.
+    /// Returns `true` if the catalog should be read now.
     fn catalog_is_due(&self, now: Time) -> bool {
         let interval = if self.has_catalog() { CATALOG_INTERVAL } else { FIRST_CATALOG_INTERVAL };
         !self.catalog_in_flight && self.catalog_requested_at.is_none_or(|at| now.since(at) >= interval)
@@ -204,7 +205,7 @@
         self.catalog_requested_at = Some(now);
     }
 
-    /// Takes a catalog that was read; an empty one is ignored.
+    /// Handles the answer to a call for the catalog. An empty catalog is ignored, and so is an error.
     fn catalog_answered(&mut self, answer: Result<CloudAnswer, CallError>) {
         self.catalog_in_flight = false;
         if let Ok(CloudAnswer::Catalog(types)) = answer
@@ -241,7 +242,7 @@
         }
     }
 
-    /// Passes an answer of the cloud, once it counts, to the component that made the call.
+    /// Dispatches an answer of the cloud, once it is confirmed, to the component that made the call.
     pub(super) fn cloud_done(&mut self, operation: CloudOperation, answer: Result<CloudAnswer, CallError>) {
         match operation {
             CloudOperation::Catalog => self.cloud.catalog_answered(answer),
--- a/src/coordination/machine_list.rs
+++ b/src/coordination/machine_list.rs
@@ -1,7 +1,7 @@
-//! Reading the cloud's machine list page by page.
+//! Reading of the cloud's machine list page by page.
 //!
-//! The list of a large fleet has more pages than the cloud allows calls at once. So each page waits for its turn, and
-//! a page that was refused or not answered is requested again.
+//! The list of a large fleet has more pages than the cloud allows calls at once. Each page therefore waits until the
+//! rate limit allows it, and a page that was refused or not answered is requested again.
 
 use super::controller::Controller;
 use super::pending_calls::CloudOperation;
@@ -11,76 +11,77 @@
 use crate::time::{Span, Time};
 use std::collections::BTreeMap;
 
-/// How often the list is read.
+/// Interval at which the list is read.
 const LIST_INTERVAL: Span = Span::millis(5_000);
-/// The same while no list was read since the newest leadership term of this node began.
+/// Interval at which reading is attempted while no list was completed in the newest leadership term of this node.
 const FIRST_LIST_INTERVAL: Span = Span::millis(500);
-/// The share of the calls that the cloud allows at once which is left to rentals and deletions while pages are read.
+/// Fraction of the calls that the cloud allows at once which is left to rentals and deletions while pages are read.
 const SHARE_LEFT_TO_OTHERS: f64 = 0.25;
-/// A list that takes longer to read is started again, since its first pages are outdated.
+/// Maximum time for reading a list. After it, reading starts over, since the first pages are outdated.
 const MAX_LIST_AGE: Span = Span::millis(30_000);
 
-/// The machine list as it was last read in whole, and how far the next one has been read.
+/// Machine list as it was last read completely, and the progress of reading the next one.
 #[derive(Default)]
 pub(super) struct MachineList {
-    /// The machines of the last complete list.
+    /// Machines of the last complete list, by id.
     machines: BTreeMap<MachineId, ListedMachine>,
-    /// How far the next list has been read.
+    /// Progress of reading the next list.
     progress: ListProgress,
-    /// When reading the newest list was begun.
+    /// Time at which reading of the newest list began.
     begun_at: Option<Time>,
-    /// When the last list was complete.
+    /// Time at which the last list was completed.
     completed_at: Option<Time>,
 }
 
-/// How far a list has been read.
+/// Progress of reading a list.
 #[derive(Default)]
 enum ListProgress {
     /// No list is being read.
     #[default]
     Idle,
-    /// A page was requested.
+    /// Call for a page is in flight.
     PageRequested,
-    /// The next page waits for its turn. These are the machines on the pages so far.
+    /// Next page waits for the rate limit. Holds the machines of the pages read so far.
     PageWaiting(Vec<ListedMachine>),
 }
 
 impl MachineList {
-    /// What the cloud says of a machine, if it lists the machine.
+    /// Returns the entry of a machine in the list, if the cloud lists the machine.
     pub fn get(&self, machine: &MachineId) -> Option<&ListedMachine> {
         self.machines.get(machine)
     }
 
-    /// Whether the cloud lists a machine.
+    /// Returns `true` if the cloud lists the machine.
     pub fn contains(&self, machine: &MachineId) -> bool {
         self.machines.contains_key(machine)
     }
 
-    /// All machines that the cloud lists.
+    /// Returns all machines that the cloud lists, in the order of their ids.
     pub fn machines(&self) -> impl Iterator<Item = &ListedMachine> {
         self.machines.values()
     }
 
-    /// Whether a list has been complete since the given time.
+    /// Returns `true` if a list has been completed at or after the given time.
     pub fn was_completed_since(&self, earliest: Time) -> bool {
         self.completed_at.is_some_and(|at| at >= earliest)
     }
 
-    /// Replaces the list by one that has just been read in whole.
+    /// Replaces the list by one that has just been read completely.
     fn complete(&mut self, listed: Vec<ListedMachine>, now: Time) {
         self.progress = ListProgress::Idle;
         self.completed_at = Some(now);
         self.machines = listed.into_iter().map(|machine| (machine.id.clone(), machine)).collect();
     }
 
-    /// Whether it is time to begin a list, given when the newest leadership term of this node began.
+    /// Returns `true` if reading of a new list should begin. `newest_term` is the time at which the newest leadership
+    /// term of this node began.
     fn is_due(&self, newest_term: Time, now: Time) -> bool {
         let interval = if self.was_completed_since(newest_term) { LIST_INTERVAL } else { FIRST_LIST_INTERVAL };
         matches!(self.progress, ListProgress::Idle) && self.begun_at.is_none_or(|begun| now.since(begun) >= interval)
     }
 
-    /// Drops the pages of a list that was begun too long ago, or before the newest leadership term: such a list may
-    /// lack machines that the former leader has rented.
+    /// Drops the pages of a list that was begun too long ago or before the newest leadership term: such a list may lack
+    /// machines that the former leader rented.
     fn drop_outdated_pages(&mut self, newest_term: Time, now: Time) {
         let is_outdated = self.begun_at.is_some_and(|begun| newest_term > begun || now.since(begun) > MAX_LIST_AGE);
         if is_outdated && matches!(self.progress, ListProgress::PageWaiting(_)) {
@@ -90,8 +91,8 @@
 }
 
 impl Controller {
-    /// Keeps the machine list fresh. `newest_term` is when the newest leadership term of this node began: a new leader
-    /// has to know which machines the former one has rented before it rents any itself.
+    /// Keeps the machine list fresh. `newest_term` is the time at which the newest leadership term of this node began:
+    /// a new leader has to know the machines that the former one rented before it rents any itself.
     pub(super) fn refresh_machine_list(&mut self, newest_term: Time) {
         let now = self.now;
         self.cloud.machine_list_mut().drop_outdated_pages(newest_term, now);
@@ -102,7 +103,8 @@
         }
     }
 
-    /// Requests the next page of a list that was begun, if the rate limit leaves room for that.
+    /// Requests the next page of a list that is being read, if the rate limit allows it and enough calls stay for
+    /// rentals and deletions.
     fn request_next_page(&mut self) {
         let now = self.now;
         if !matches!(self.cloud.machine_list().progress, ListProgress::PageWaiting(_))
@@ -116,14 +118,16 @@
         }
     }
 
-    /// Requests the page after the machines listed so far.
+    /// Requests the page that follows the machines listed so far.
     fn request_page(&mut self, so_far: Vec<ListedMachine>) {
         self.cloud.machine_list_mut().progress = ListProgress::PageRequested;
         let after = so_far.last().map(|machine| machine.id.clone());
         self.calls.send_to_cloud(CloudCall::List { after }, CloudOperation::List { so_far });
     }
 
-    /// Adds a page to the list that is being read.
+    /// Handles the answer to the call for a page: adds its machines to the list that is being read, and completes the
+    /// list with the last page. A page after the first that was refused over the limit or not answered is requested
+    /// again later. After any other failure the list is dropped, and reading begins anew at the next interval.
     pub(super) fn page_listed(&mut self, mut so_far: Vec<ListedMachine>, answer: Result<CloudAnswer, CallError>) {
         match answer {
             Ok(CloudAnswer::Machines { listed, more }) => {
--- a/src/coordination/machine_transfer.rs
+++ b/src/coordination/machine_transfer.rs
@@ -1,6 +1,6 @@
-//! Transfers idle machines between shards.
+//! Transfer of idle machines between shards.
 //!
-//! Controllers offer the idle machines of their shards to one another in heartbeats. A shard that needs machines
+//! Controllers offer the idle machines of their shards to one another in peer heartbeats. A shard that needs machines
 //! requests offered ones; the leader of the shard that has them then rewrites their records.
 
 use super::controller::Controller;
@@ -17,22 +17,22 @@
 use crowstall_reconciliation::MachineClass;
 use std::collections::BTreeMap;
 
-/// The idle machines that each of the other controllers offers.
+/// Idle machines offered by each of the other controllers.
 #[derive(Default)]
 pub(super) struct PeerOffers {
     by_node: BTreeMap<NodeLabel, Vec<MachineOffer>>,
 }
 
 impl PeerOffers {
-    /// Replaces what a controller offers.
+    /// Replaces the offers of a controller.
     pub fn set(&mut self, node: NodeLabel, offers: Vec<MachineOffer>) {
         self.by_node.insert(node, offers);
     }
 }
 
 impl Controller {
-    /// Requests idle machines of other shards that a job could use, and adds them to the bins. Returns how many of its
-    /// tasks are left without room.
+    /// Requests idle machines of other shards that a job could use, and adds them to the bins. Returns the number of
+    /// the job's tasks that still do not fit.
     pub(super) fn take_offers(&mut self, id: ShardId, demand: &Demand, bins: &mut Vec<PackingBin>) -> u32 {
         let mut remaining = Demand { spec: demand.spec.clone(), avoids: demand.avoids.clone(), ..*demand };
         for offer in self.offers_to(id) {
@@ -54,7 +54,7 @@
         remaining.count
     }
 
-    /// The machines that a shard may request from others, spot machines first.
+    /// Returns the machines that a shard may request from other shards, spot machines first.
     fn offers_to(&self, id: ShardId) -> Vec<MachineOffer> {
         let peers = self.membership.reachable_peers(self.now);
         let offers_of_peers = peers.filter_map(|(node, _)| self.offers.by_node.get(node)).flatten().cloned();
@@ -65,19 +65,20 @@
         offers
     }
 
-    /// The room of an offered machine, if a task of the job may run there and fits.
+    /// Returns the resources of an offered machine, or `None` if no task of the job may run there or fits.
     fn usable_room(&self, offer: &MachineOffer, spec: &JobSpec) -> Option<Resources> {
         let room = self.cloud.machine_type(&offer.kind)?.room;
         let is_usable = spec.allows(&offer.kind, &offer.zone, offer.spot) && room.slots(&spec.needs) > 0;
         is_usable.then_some(room)
     }
 
-    /// Whether a shard of this node has requested an offered machine lately.
+    /// Returns `true` if a shard of this node has requested the offered machine recently.
     fn is_requested(&self, machine: &MachineId) -> bool {
         self.shards.values().any(|shard| shard.fleet.requested_offers.contains_key(machine))
     }
 
-    /// Requests an offered machine for a shard. Returns whether the leader of the shard that has it is known.
+    /// Requests an offered machine for a shard. Returns `false` if the shard that has the machine or its leader is not
+    /// known, or if the machine is already in shard `to`.
     fn request_offered_machine(&mut self, machine: &MachineId, to: ShardId) -> bool {
         let Some(from) = self.directory.machine_shard(machine).filter(|from| *from != to) else { return false };
         if self.shards.contains_key(&from) {
@@ -89,7 +90,7 @@
         true
     }
 
-    /// Transfers a machine that was offered to the shard that has requested it, if it is still idle.
+    /// Begins the transfer of an offered machine to the shard that has requested it, if the machine is still idle.
     pub(super) fn offered_machine_requested(&mut self, machine: MachineId, to: ShardId) {
         let now = self.now;
         let owner = self.shards.values().find(|shard| shard.machines.contains_key(&machine));
@@ -107,7 +108,8 @@
         self.write_transfer(id, &machine);
     }
 
-    /// Writes the record of a machine that is being transferred, which names its new shard.
+    /// Writes the record of a machine that is being transferred, naming its new shard. The write is conditional on this
+    /// leadership term and on the version of the record.
     fn write_transfer(&mut self, id: ShardId, machine_id: &MachineId) {
         let Some(shard) = self.shards.get(&id) else { return };
         let Some(machine) = shard.machines.get(machine_id) else { return };
@@ -129,7 +131,8 @@
         self.call_state(request, operation);
     }
 
-    /// Gives up a machine whose transfer was recorded, or remembers to write the record again.
+    /// Handles the answer to the write of a transfer: removes the machine from its old shard if the transfer was
+    /// committed, and otherwise schedules the same write again.
     pub(super) fn transfer_answered(
         &mut self,
         leadership: LeadershipTerm,
@@ -142,10 +145,10 @@
             return;
         }
         match answer {
-            // A conflict on the machine's record alone: an earlier attempt was executed after all.
+            // The conflict is on the version of the machine's record alone, so an earlier write was executed after all.
             Ok(StateAnswer::Committed(_) | StateAnswer::Conflict(_)) => self.finish_transfer(id, machine, to),
-            // An unanswered write may be executed at any later time, so the machine is given no more tasks here, and
-            // the same record is written again until the outcome is certain.
+            // An unanswered write may be executed at any later time. The machine therefore gets no more tasks from this
+            // shard, and the same record is written again until the outcome is certain.
             _ => {
                 if let Some(shard) = self.shards.get_mut(&id) {
                     shard.fleet.retry_transfers.push(machine);
@@ -154,7 +157,7 @@
         }
     }
 
-    /// Removes a machine that was transferred, and tells the leader of its new shard.
+    /// Removes a machine that was transferred from its old shard, and notifies the leader of its new shard.
     fn finish_transfer(&mut self, from: ShardId, machine: MachineId, to: ShardId) {
         log::info!("machine {machine}: transferred from shard {from} to shard {to}");
         let now = self.now;
@@ -169,7 +172,7 @@
         }
     }
 
-    /// Writes the records of machines again whose transfer was refused or not answered.
+    /// Retries the transfers whose write was refused or not answered.
     pub(super) fn retry_transfers(&mut self, id: ShardId) {
         let Some(shard) = self.shards.get_mut(&id) else { return };
         for machine in std::mem::take(&mut shard.fleet.retry_transfers) {
--- a/src/coordination/placement/binding.rs
+++ b/src/coordination/placement/binding.rs
@@ -1,4 +1,4 @@
-//! Binding: choosing tasks for a machine whose heartbeat shows room.
+//! Binding: selection of tasks for a machine whose heartbeat shows free resources.
 
 use super::super::shard::AttemptProgress;
 use super::super::shard::{Attempt, HeartbeatNumber, Job, Shard};
@@ -10,55 +10,58 @@
 use crate::time::Time;
 use std::ops::ControlFlow;
 
-/// How many bits of an attempt number come from this node's counter; the bits above are the leadership term.
+/// Number of low bits of an attempt number that hold this node's counter; the bits above them hold the revision of the
+/// leadership term.
 const ATTEMPT_COUNTER_BITS: u32 = 24;
 
-/// The machine that tasks are being bound to, and what was bound to it so far.
+/// State of binding tasks to one machine while its heartbeat is answered.
 struct Binding<'a> {
-    /// The machine.
+    /// Machine that receives the tasks.
     machine_id: &'a MachineId,
-    /// Its type.
+    /// Type of the machine.
     kind: &'a MachineType,
-    /// Its zone.
+    /// Zone of the machine.
     zone: Name,
-    /// Whether it is a spot machine.
+    /// `true` if the machine is a spot machine.
     spot: bool,
-    /// The heartbeat that is being answered.
+    /// Number of the heartbeat that is being answered.
     sent_in: HeartbeatNumber,
-    /// What is still free on the machine.
+    /// Resources that are still free on the machine.
     free: Resources,
-    /// How many commands the answer to the heartbeat has room for.
+    /// Maximum number of commands in the answer to the heartbeat.
     max_commands: usize,
-    /// The commands that start the tasks bound so far.
+    /// Commands that start the tasks bound so far.
     commands: Vec<Command>,
-    /// Jobs that could run on the machine once tasks there end, and were passed over for now.
+    /// Jobs that were skipped: their next task does not fit now, but would fit if array tasks on the machine ended.
     passed_over: Vec<JobId>,
 }
 
 impl Binding<'_> {
-    /// Whether the answer has no room for another command.
+    /// Returns `true` if the answer has no room for another command.
     fn is_full(&self) -> bool {
         self.commands.len() >= self.max_commands
     }
 }
 
-/// What to do with the next task of a job.
+/// Decision about the next task of a job.
 enum BindingDecision {
-    /// The task is started on the machine.
+    /// Start the task on the machine.
     Start,
-    /// The job's tasks can't or should not run on the machine now.
+    /// Continue with the next job: the task can't run on the machine, or should not be started there now.
     NextJob,
-    /// The task would fit if tasks on the machine ended; jobs behind it may go first for now.
+    /// Skip the job for now: the task would fit once array tasks on the machine end. Jobs behind it may use the free
+    /// resources until the skip limit is reached.
     PassOver,
-    /// The job has been passed over for too long: nothing more is bound until the machine has room for it.
+    /// Bind nothing more to the machine: the job has been skipped for longer than the skip limit, so the free resources
+    /// are kept for it.
     KeepFree,
-    /// The job is starved: the machine is reserved for it, and nothing more is bound until it has room.
+    /// Reserve the machine for the job, which is starved, and bind nothing more to the machine until the task fits.
     Reserve,
 }
 
 impl Shard {
-    /// Binds the first tasks of the queue that fit to a machine whose heartbeat is being answered, and returns the
-    /// commands that start them. `counter` numbers attempts.
+    /// Binds the first tasks of the queue that fit to the machine whose heartbeat is being answered, and returns the
+    /// commands that start them. `counter` is this node's counter of attempts and becomes part of each attempt number.
     pub fn bind(
         &mut self,
         machine_id: &MachineId,
@@ -80,7 +83,8 @@
         binding.commands
     }
 
-    /// Prepares binding, unless the machine gets no tasks or has no room.
+    /// Returns the initial state for binding tasks to the machine. `None` if the machine accepts no tasks, has no free
+    /// CPUs or is of an unknown type.
     fn begin_binding<'a>(
         &self,
         machine_id: &'a MachineId,
@@ -106,7 +110,7 @@
         })
     }
 
-    /// Binds as many tasks of a job as fit. Breaks if nothing more may be bound to the machine.
+    /// Binds as many tasks of a job as fit. Returns `Break` if nothing more may be bound to the machine.
     fn bind_job(
         &mut self,
         job_id: &JobId,
@@ -159,7 +163,7 @@
         BindingDecision::Start
     }
 
-    /// Decides about a job whose next task does not fit into what is free on the machine.
+    /// Decides about a job whose next task does not fit into the free resources of the machine.
     fn decide_without_room(&self, job: &Job, binding: &Binding, context: &PlacementContext) -> BindingDecision {
         let service_usage =
             self.machines.get(binding.machine_id).map(|machine| self.service_usage(machine)).unwrap_or_default();
@@ -177,14 +181,15 @@
         BindingDecision::PassOver
     }
 
-    /// Reserves the machine for the next task of a job. The time of an earlier reservation of the machine stands.
+    /// Reserves the machine for the next task of a job. A reservation of the same machine that exists already keeps its
+    /// time.
     fn reserve_machine(&mut self, job_id: &JobId, machine_id: &MachineId, now: Time) {
         if let Some(job) = self.jobs.get_mut(job_id) {
             job.waiting.reserve(machine_id, now);
         }
     }
 
-    /// Records that a task is started on the machine, and adds the command that starts it.
+    /// Records the start of a task on the machine, and adds the command that starts it to the answer.
     fn start_task(&mut self, task: TaskId, no: AttemptNumber, binding: &mut Binding, now: Time) {
         let Some(job) = self.jobs.get(&task.job) else { return };
         let machine_id = binding.machine_id;
@@ -199,7 +204,7 @@
             progress: AttemptProgress::default(),
             stop: None,
         };
-        log::debug!("task {task} attempt {no} goes to {machine_id}");
+        log::debug!("task {task}: starting attempt {no} on machine {machine_id}");
         binding.free = binding.free.minus(&attempt.needs);
         self.place(machine_id, no, attempt);
         self.recovery.record_task_start(now);
@@ -211,7 +216,8 @@
         binding.commands.push(Command::Run { task, attempt: no });
     }
 
-    /// Records that a job does not wait any more: its reservations are given up.
+    /// Clears the waiting state of a job that has started a task: the time since which it was skipped, its machine
+    /// reservation and its quota reservation.
     fn end_waiting(&mut self, job_id: &JobId) {
         if let Some(job) = self.jobs.get_mut(job_id) {
             job.waiting.skipped_since = None;
@@ -220,7 +226,7 @@
         self.queue.release_reservation(job_id);
     }
 
-    /// Records that a task of another job was started before those of the given jobs.
+    /// Records for each of the given jobs since when it has been skipped in favour of tasks of other jobs.
     fn record_skipped(&mut self, jobs: impl Iterator<Item = JobId>, now: Time) {
         for job_id in jobs {
             if let Some(job) = self.jobs.get_mut(&job_id) {
@@ -230,7 +236,8 @@
     }
 }
 
-/// A number that no attempt of another leadership term has: its upper bits are the term's revision.
+/// Returns an attempt number that no attempt of another leadership term has, since its upper bits are the term's
+/// revision.
 fn attempt_no(term: Revision, counter: u64) -> AttemptNumber {
     let counter_mask = (1 << ATTEMPT_COUNTER_BITS) - 1;
     AttemptNumber((term.0 << ATTEMPT_COUNTER_BITS) | (counter & counter_mask))
--- a/src/coordination/placement/constraints.rs
+++ b/src/coordination/placement/constraints.rs
@@ -1,30 +1,30 @@
-//! Constraints that hold across machines: how a job's tasks may be distributed over zones, and teams' quotas.
+//! Constraints that span machines: the distribution of a job's tasks over zones, and the quotas of teams.
 
 use super::super::shard::{Job, Shard};
 use crate::config::Settings;
 use crate::model::{JobId, Name, Resources};
 
-/// How many tasks of a job are in a zone and in all others.
+/// Numbers of a job's tasks in one zone and in all other zones.
 #[derive(Default)]
 struct ZoneCount {
-    /// How many are in the zone.
+    /// Number of tasks in the zone.
     in_zone: u32,
-    /// How many are in other zones.
+    /// Number of tasks in other zones.
     elsewhere: u32,
 }
 
-/// Tasks of a job that may be running on unreconciled machines.
+/// Tasks of a job that may still be running on unreconciled machines.
 #[derive(Default)]
 struct UnreconciledTasks {
-    /// How many of them may be running in the zone.
+    /// Number of unreconciled tasks, if they may be running in the zone; otherwise zero.
     in_zone: u32,
-    /// Whether any may be running in another zone.
+    /// `true` if unreconciled tasks may be running in another zone.
     any_elsewhere: bool,
 }
 
 impl Shard {
-    /// Whether the job's other tasks leave room for one more in the zone. Unreconciled tasks count in every zone where
-    /// an unreconciled machine could run them.
+    /// Returns `true` if the job's zone constraints allow one more of its tasks in the zone. Unreconciled tasks count
+    /// in every zone where an unreconciled machine could run them.
     pub(super) fn zone_allows(&self, job: &Job, zone: &Name) -> bool {
         if !job.spec.one_zone && !job.spec.spread {
             return true;
@@ -35,7 +35,7 @@
         (!job.spec.one_zone || other_zones_are_free) && placed.in_zone + unreconciled.in_zone < job.spec.zone_cap()
     }
 
-    /// The unreconciled tasks of a job that may be running in the zone and outside.
+    /// Returns the unreconciled tasks of a job that may be running in the zone or in other zones.
     fn unreconciled_tasks(&self, job: &Job, zone: &Name) -> UnreconciledTasks {
         let count = job.progress.unreconciled.len();
         if count == 0 {
@@ -47,7 +47,8 @@
         }
     }
 
-    /// Counts the attempts of a job that are on machines, also those that are being stopped.
+    /// Returns the numbers of a job's attempts in the zone and in other zones. Attempts that are being stopped count;
+    /// attempts that are over do not.
     fn count_by_zone(&self, job: &JobId, zone: &Name) -> ZoneCount {
         let mut count = ZoneCount::default();
         for machine in self.machines.values() {
@@ -60,7 +61,7 @@
 }
 
 impl Job {
-    /// Whether the quota of the job's team allows one more of its tasks on top of the given usage.
+    /// Returns `true` if the quota of the job's team allows one more of its tasks on top of `usage`.
     pub(super) fn is_within_quota(&self, usage: &Resources, settings: &Settings) -> bool {
         let Some(team) = settings.teams.get(&self.spec.team) else { return false };
         let after = usage.plus(&self.spec.needs);
--- a/src/coordination/placement/mod.rs
+++ b/src/coordination/placement/mod.rs
@@ -1,7 +1,7 @@
-//! Placement: choosing tasks for machines.
+//! Placement: assignment of tasks to machines.
 //!
-//! Tasks are bound late. When the heartbeat of a machine shows room, the first tasks of the job queue that fit are
-//! bound to that machine; nothing is bound before.
+//! Tasks are bound late: only when the heartbeat of a machine shows free resources are the first tasks of the job queue
+//! that fit bound to that machine.
 
 mod binding;
 mod constraints;
@@ -18,20 +18,20 @@
 use crate::time::Time;
 use std::collections::HashMap;
 
-/// What placement needs to know besides the shard.
+/// Inputs of placement besides the shard.
 pub(super) struct PlacementContext<'a> {
-    /// The settings of this node.
+    /// Settings of this node.
     pub settings: &'a Settings,
-    /// The machine types of the cloud's catalog.
+    /// Machine types of the cloud's catalog, by name.
     pub types: &'a HashMap<Name, MachineType>,
-    /// The time by the monotonic clock.
+    /// Monotonic time.
     pub now: Time,
-    /// The time of day in milliseconds.
+    /// Wall-clock time in milliseconds.
     pub wall_clock_ms: u64,
 }
 
 impl Shard {
-    /// The attempts on a machine that belong to services and are not over, also those that are to be stopped.
+    /// Returns the attempts of services on a machine that are not over, including those that are to be stopped.
     pub(super) fn service_attempts<'a>(&'a self, machine: &'a Machine) -> impl Iterator<Item = &'a Attempt> {
         machine.attempts.values().filter(|attempt| {
             let job = self.jobs.get(&attempt.task.job);
@@ -39,7 +39,8 @@
         })
     }
 
-    /// What services take of a machine. It does not become free by waiting, since services do not end.
+    /// Returns the resources that services use on a machine. Waiting does not free these resources, since services do
+    /// not end.
     pub(super) fn service_usage(&self, machine: &Machine) -> Resources {
         self.service_attempts(machine).fold(Resources::default(), |sum, attempt| sum.plus(&attempt.needs))
     }
--- a/src/coordination/placement/preemption.rs
+++ b/src/coordination/placement/preemption.rs
@@ -1,4 +1,4 @@
-//! Preemption: stopping tasks so that waiting tasks of higher priority get their room.
+//! Preemption: stopping tasks to free resources for waiting tasks of higher priority.
 
 use super::super::shard::{Job, Machine, Shard};
 use super::PlacementContext;
@@ -6,71 +6,73 @@
 use crate::model::{AttemptNumber, JobId, MachineId, Resources};
 use crate::time::Time;
 
-/// Tasks on one machine that are stopped for a task of higher priority.
+/// Attempts on one machine that are stopped for a task of higher priority.
 pub(in crate::coordination) struct Preemption {
-    /// The machine.
+    /// Machine that runs the attempts.
     pub machine: MachineId,
-    /// The attempts that are stopped.
+    /// Attempts to be stopped.
     pub victims: Vec<AttemptNumber>,
 }
 
-/// What is free on a machine or being freed, less what was assigned to waiting tasks of this round.
+/// Resources of one machine that are free or being freed, less those that this round has assigned to waiting tasks.
 struct FreeRoom {
-    /// The machine.
+    /// Machine that has the resources.
     machine: MachineId,
-    /// What is free or being freed there.
+    /// Resources that are free or being freed and not yet assigned.
     room: Resources,
 }
 
-/// How a waiting task gets room.
+/// Source of resources for a waiting task.
 enum RoomForTask {
-    /// There is room, at this index of the list of free rooms.
+    /// Resources that are free or being freed on the machine at this index of the list of free resources.
     Free(usize),
-    /// Other tasks have to be stopped.
+    /// Resources of attempts that have to be stopped.
     Preempt(PreemptionCandidate),
 }
 
-/// A machine on which room could be made for a waiting task.
+/// Machine on which attempts could be stopped for a waiting task.
 struct PreemptionCandidate {
-    /// How well the machine suits the task.
+    /// Placement score of the machine for the task.
     score: PlacementScore,
-    /// What would be stopped there.
+    /// Attempts that would be stopped.
     victims: VictimSet,
-    /// The index of the machine in the list of free rooms.
+    /// Index of the machine in the list of free resources.
     index: usize,
 }
 
 impl PreemptionCandidate {
-    /// Whether this candidate suits the task better than another or, if they suit it alike, loses less run time.
+    /// Returns `true` if this candidate has a better placement score than the other or, with equal scores, loses less
+    /// run time.
     fn is_better_than(&self, other: &PreemptionCandidate) -> bool {
         (self.score, self.victims.lost_run_time_s) < (other.score, other.victims.lost_run_time_s)
     }
 }
 
-/// The attempts that would be stopped on one machine.
+/// Attempts that would be stopped on one machine.
 #[derive(Default)]
 struct VictimSet {
-    /// The attempts, the youngest first.
+    /// Attempt numbers, the youngest attempt first.
     attempts: Vec<AttemptNumber>,
-    /// For how long they have run, all together, in seconds.
+    /// Sum of the run times of the attempts, in seconds.
     lost_run_time_s: f64,
-    /// What they occupy.
+    /// Resources that the attempts use, all together.
     freed: Resources,
 }
 
-/// An attempt that may be stopped.
+/// Attempt that may be stopped.
 struct Victim {
-    /// The attempt.
+    /// Number of the attempt.
     attempt: AttemptNumber,
-    /// For how many seconds it has run.
+    /// Time since the attempt was first reported to be running, in seconds; zero if it was not.
     run_time_s: f64,
-    /// What it occupies.
+    /// Resources that the attempt uses.
     needs: Resources,
 }
 
 impl Shard {
-    /// Chooses tasks to be stopped so that waiting tasks of higher priority get room: on the machine that suits best,
-    /// and there the youngest tasks, so that little work is lost. Marks them as to be stopped.
+    /// Chooses attempts to be stopped so that waiting tasks of higher priority can be placed, and marks them as to be
+    /// stopped. For each task the machine with the best placement score is used, and on it the youngest attempts are
+    /// stopped, so that little work is lost.
     pub fn preempt(&mut self, context: &PlacementContext) -> Vec<Preemption> {
         let mut preemptions = Vec::new();
         let queue = self.preempting_jobs(context);
@@ -84,10 +86,11 @@
         preemptions
     }
 
-    /// The waiting jobs that are more urgent than one that runs, in queue order.
+    /// Returns the jobs with a task to start whose own priority is higher than that of some running job, in queue
+    /// order.
     ///
-    /// Only a job's own priority counts here. A job that inherits its urgency from dependent jobs goes first in the
-    /// queue, but preempts nothing: whole job arrays would stop whole job arrays.
+    /// Inherited urgency does not count: a job that inherits urgency from dependent jobs goes first in the queue but
+    /// preempts nothing. Otherwise whole job arrays would stop other whole job arrays.
     fn preempting_jobs(&mut self, context: &PlacementContext) -> Vec<JobId> {
         let running = self.jobs.values().filter(|job| !job.progress.running.is_empty());
         let Some(least_urgent) = running.map(Job::priority).max() else { return Vec::new() };
@@ -99,7 +102,8 @@
         queue.iter().filter(may_preempt).cloned().collect()
     }
 
-    /// The machines that get tasks, and what is free or being freed there. Jobs that go first use it up first.
+    /// Returns the machines that accept tasks, with the resources that are free or being freed on each. Jobs earlier in
+    /// the queue use them first.
     fn free_rooms(&self, context: &PlacementContext) -> Vec<FreeRoom> {
         let machines = self.machines.iter().filter(|(_, machine)| machine.accepts_tasks(context.now));
         machines
@@ -110,7 +114,7 @@
             .collect()
     }
 
-    /// Finds room for the pending tasks of a job, and marks the attempts that have to be stopped for that.
+    /// Finds resources for the pending tasks of a job, and marks the attempts that have to be stopped for these tasks.
     fn make_room_for_job(
         &mut self,
         job_id: &JobId,
@@ -134,8 +138,8 @@
         }
     }
 
-    /// How many tasks of a job may have others stopped: none if its team's quota is used up, and one if the job fails
-    /// everywhere.
+    /// Returns the number of a job's tasks that may have attempts of other jobs stopped: none if the quota of the job's
+    /// team is used up, one if the job fails everywhere, and otherwise all pending tasks.
     fn tasks_to_make_room_for(&self, job_id: &JobId, context: &PlacementContext) -> u32 {
         let Some(job) = self.jobs.get(job_id) else { return 0 };
         let usage = self.team_usage(&job.spec.team, context.settings, context.types);
@@ -145,7 +149,8 @@
         if job.failures.fails_everywhere { 1 } else { job.progress.pending.len() }
     }
 
-    /// How one more task of the job gets room, if it can.
+    /// Returns the source of resources for one more task of the job. `None` if no machine has enough free resources and
+    /// preemption can't free enough.
     fn room_for_task(&self, job: &Job, free: &[FreeRoom], context: &PlacementContext) -> Option<RoomForTask> {
         let has_room =
             |free: &FreeRoom| job.spec.needs.fits_in(&free.room) && self.may_run_on(job, &free.machine, context.now);
@@ -162,7 +167,7 @@
         best.map(RoomForTask::Preempt)
     }
 
-    /// Whether a task of the job may run on the machine, apart from its room.
+    /// Returns `true` if a task of the job may run on the machine, regardless of the machine's free resources.
     fn may_run_on(&self, job: &Job, machine_id: &MachineId, now: Time) -> bool {
         self.machines.get(machine_id).is_some_and(|machine| {
             job.spec.allows(&machine.kind, &machine.zone, machine.spot)
@@ -171,7 +176,8 @@
         })
     }
 
-    /// What stopping tasks on one machine for the job would take, if that makes enough room.
+    /// Returns the attempts that would be stopped on one machine for a task of the job. `None` if the task may not run
+    /// there or stopping attempts can't free enough resources.
     fn preemption_candidate(
         &self,
         job: &Job,
@@ -189,8 +195,8 @@
         Some(PreemptionCandidate { score, victims, index })
     }
 
-    /// The youngest attempts of lower priority on a machine that make enough room for a task of the job when they are
-    /// stopped.
+    /// Returns the youngest attempts of lower priority on a machine that together free enough resources for a task of
+    /// the job. `None` if even all of them do not free enough.
     fn cheapest_victims(&self, job: &Job, machine: &Machine, free: &Resources, now: Time) -> Option<VictimSet> {
         let mut candidates = self.possible_victims(job, machine, now);
         candidates.sort_by(|a, b| a.run_time_s.total_cmp(&b.run_time_s));
@@ -206,8 +212,8 @@
         None
     }
 
-    /// The attempts on a machine whose jobs have a lower rank than the priority of the job, and that are not to be
-    /// stopped yet.
+    /// Returns the attempts on a machine whose jobs have a lower rank than the job's own priority, except those that
+    /// are to be stopped already.
     fn possible_victims(&self, job: &Job, machine: &Machine, now: Time) -> Vec<Victim> {
         let attempts = machine.attempts.iter().filter(|(_, attempt)| !attempt.is_over() && attempt.stop.is_none());
         attempts
@@ -220,7 +226,8 @@
             .collect()
     }
 
-    /// Marks attempts as to be stopped. An attempt of a job with checkpoints gets the time to save one.
+    /// Marks attempts as to be stopped. An attempt of a job with checkpoints gets a grace period in which it can save
+    /// one.
     fn mark_victims(&mut self, machine_id: &MachineId, victims: &[AttemptNumber]) {
         let Some(machine) = self.machines.get_mut(machine_id) else { return };
         for no in victims {
--- a/src/coordination/placement/queue_order.rs
+++ b/src/coordination/placement/queue_order.rs
@@ -1,4 +1,4 @@
-//! The order of the job queue.
+//! Order of the job queue.
 
 use super::super::shard::{Job, JobQueue, QueueOrder, QuotaReservations, Shard};
 use super::PlacementContext;
@@ -7,46 +7,48 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Where a job stands in the queue. Positions compare by their fields from first to last; the least goes first.
+/// Position of a job in the queue. Positions compare by their fields from first to last; the least goes first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct QueuePosition<'a> {
-    /// The job's rank, from its own and its inherited priority.
+    /// Rank of the job, derived from its own and its inherited priority.
     rank: Priority,
-    /// One more task would take the team beyond its guarantee.
+    /// `true` if one more task would take the team beyond its guarantee.
     exceeds_guarantee: bool,
-    /// Jobs that can still meet a limit go before those that can't, the most urgent first.
+    /// Time left until the first limit that the job can still meet, in milliseconds. Zero if the job is starved;
+    /// `u64::MAX`, and so behind all others, if it can meet no limit.
     time_left_ms: u64,
-    /// Among jobs that can meet no limit, the team that uses least goes first, unless it is within its guarantee.
+    /// CPUs that the team uses, for a job that can meet no limit and would exceed its team's guarantee; otherwise zero.
+    /// Among such jobs the team that uses least goes first.
     team_cpus: Quantity,
-    /// When the job became ready, then its id.
+    /// Order among jobs that are otherwise equal: by the time at which they became ready, then by id.
     order: &'a QueueOrder,
 }
 
-/// Where a job stands among all jobs of the shard, whether or not any of its tasks may be started.
+/// Position of a job among all jobs of the shard, including those of which no task may be started now.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct UrgencyPosition<'a> {
-    /// The job's rank, from its own and its inherited priority.
+    /// Rank of the job, derived from its own and its inherited priority.
     rank: Priority,
-    /// How much time is left for the job.
+    /// Time left until the first limit that the job can still meet, in milliseconds.
     time_left_ms: u64,
-    /// When the job became ready, then its id.
+    /// Order among jobs that are otherwise equal: by the time at which they became ready, then by id.
     order: &'a QueueOrder,
 }
 
-/// A job that has a task to start, and its position in the queue.
+/// Job that has a task to start, with its position in the queue.
 struct QueueCandidate<'a> {
-    /// Where the job stands in the queue.
+    /// Position of the job in the queue.
     position: QueuePosition<'a>,
-    /// The job.
+    /// Job with a task to start.
     job: &'a Job,
-    /// Whether the team's quota allows one more task. A starved job is a candidate also without that, since part of
-    /// the quota is reserved for it.
+    /// `true` if the team's quota allows one more task. A starved job is a candidate even without quota, since part of
+    /// the quota is then reserved for it.
     quota_allows: bool,
 }
 
 impl Shard {
-    /// The jobs with a task to start, in queue order. The order is kept for a moment, so that not every heartbeat
-    /// costs a look at every job; it is made again at once if a job has become ready.
+    /// Returns the jobs with a task to start, in queue order. The order is cached for a short time, so that not every
+    /// heartbeat has to inspect all jobs; the cache is invalidated at once when a job becomes ready.
     pub(super) fn ordered_jobs(&mut self, context: &PlacementContext) -> Arc<[JobId]> {
         if !self.queue.is_current(context.now) {
             self.count_inspections(self.jobs.len());
@@ -55,7 +57,8 @@
         self.queue.jobs()
     }
 
-    /// All jobs that are not ending, the most urgent first, whether or not any of their tasks may be started.
+    /// Returns all jobs that are not ending, the most urgent first, including those of which no task may be started
+    /// now.
     pub fn by_urgency(&self, settings: &Settings, wall_clock_ms: u64) -> Vec<&Job> {
         let mut jobs: Vec<&Job> = self.jobs.values().filter(|job| job.ending.is_none()).collect();
         jobs.sort_by_key(|job| UrgencyPosition {
@@ -66,7 +69,8 @@
         jobs
     }
 
-    /// Puts the jobs with a task to start in order and reserves quotas for starved jobs.
+    /// Puts the jobs with a task to start in order and reserves quota for starved jobs. Jobs that their team's quota
+    /// does not allow to start a task are left out.
     fn order_jobs(&self, context: &PlacementContext) -> JobQueue {
         let mut team_usage: HashMap<&Name, Resources> = HashMap::new();
         let mut candidates: Vec<QueueCandidate> = self
@@ -92,7 +96,7 @@
     }
 }
 
-/// Whether the team stays within its guarantee with one more task of the job.
+/// Returns `true` if one more task of the job keeps the team within its guarantee.
 fn is_within_guarantee(job: &Job, used: &Resources, settings: &Settings) -> bool {
     settings.teams.get(&job.spec.team).is_some_and(|team| {
         let after = used.plus(&job.spec.needs);
@@ -100,8 +104,8 @@
     })
 }
 
-/// Reserves, for the job of each team that has been starved longest, what its next task needs of the team's quota. All
-/// other jobs of the team have to leave that free, also those that go before the starved one.
+/// For each team, reserves the quota that the next task of its longest starved job needs. All other jobs of the team
+/// have to leave this quota free, including those that go before the starved job.
 fn reserve_quotas(candidates: &[QueueCandidate], context: &PlacementContext) -> QuotaReservations {
     let jobs = candidates.iter().map(|candidate| candidate.job);
     let mut starved: Vec<&Job> = jobs.filter(|job| job.is_starved(context.settings, context.wall_clock_ms)).collect();
@@ -113,7 +117,7 @@
     reservations
 }
 
-/// The least of each resource that any of the jobs needs. A machine with less room has no task to start.
+/// Returns the componentwise minimum of the jobs' needs. A machine with less free of any resource can start no task.
 fn least_needs(candidates: &[QueueCandidate]) -> Resources {
     let needs = candidates.iter().map(|candidate| candidate.job.spec.needs);
     let least = needs.reduce(|least, needs| Resources {
@@ -125,8 +129,8 @@
 }
 
 impl<'a> QueueCandidate<'a> {
-    /// The position of a job whose team uses `used`. `None` if the team's quota is used up and nothing is reserved for
-    /// the job: then no machine has to be compared with its needs.
+    /// Returns the job as a candidate, given that its team uses `used`. `None` if the team's quota is used up and the
+    /// job is not starved: such a job is left out before any machine is compared with its needs.
     fn of(job: &'a Job, used: &Resources, context: &PlacementContext) -> Option<QueueCandidate<'a>> {
         let (settings, wall_clock_ms) = (context.settings, context.wall_clock_ms);
         let quota_allows = job.is_within_quota(used, settings);
--- a/src/coordination/placement/score.rs
+++ b/src/coordination/placement/score.rs
@@ -1,41 +1,44 @@
-//! The placement score: how well a machine suits a service, and whether a task should wait for a better machine.
+//! Placement score: suitability of a machine for a task, and the decision whether a service task waits for a better
+//! machine.
 
 use super::super::shard::{Job, Machine, Shard};
 use super::PlacementContext;
 use crate::model::{JobKind, MachineId, Quantity};
 use crate::time::Span;
 
-/// How many heartbeat intervals a task waits for the heartbeat of a better machine.
+/// Number of heartbeat intervals for which a task waits for the heartbeat of a better machine.
 const BETTER_MACHINE_WAIT_INTERVALS: f64 = 1.5;
 
-/// How many times that wait must fit into the class's objective for starting, if the task is to wait for any better
-/// machine rather than only for one with its image.
+/// Minimum ratio of the class's start objective to that wait, for a task to wait for any better machine. Below it, a
+/// task waits only for a machine that has its image.
 const WAITS_WITHIN_START_OBJECTIVE: f64 = 2.0;
 
-/// How well a machine suits a task. Scores compare by their fields from first to last; the least is the best.
+/// Suitability of a machine for a task. Scores compare by their fields from first to last; the least is the best.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct PlacementScore {
-    /// The machine lacks the image. Fetching it takes longer than anything else that is compared here.
+    /// `true` if the machine lacks the image. Fetching the image takes longer than anything else compared here, so this
+    /// field comes first.
     lacks_image: bool,
-    /// How large the machine is. A service stays for long, and a machine that runs one can't be returned.
+    /// CPUs of the machine type. Smaller machines are better, since a service runs for long and a machine that runs one
+    /// can't be deleted.
     machine_cpus: Quantity,
-    /// The machine runs another task of the same job, which a single failure would stop as well.
+    /// `true` if the machine runs another task of the same job, which a failure of the machine would stop as well.
     runs_same_job: bool,
-    /// The machine runs no service yet.
+    /// `true` if the machine runs no service yet.
     runs_no_service: bool,
 }
 
-/// Which other machines are worth waiting for.
+/// Machines that are worth waiting for instead of starting a task at once.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum WorthWaitingFor {
-    /// Any machine with a better score: the class's objective leaves time for that.
+    /// Any machine with a better score. Used if the class's start objective leaves enough time.
     BetterScore,
-    /// A machine that has the image: its heartbeat comes before this machine could have fetched the image.
+    /// Machine that has the image: its heartbeat is expected before the current machine could have fetched the image.
     Image,
 }
 
 impl Shard {
-    /// How well the machine suits a task of the job.
+    /// Returns the placement score of the machine for a task of the job.
     pub(super) fn placement_score(&self, job: &Job, machine: &Machine, machine_cpus: Quantity) -> PlacementScore {
         let (mut runs_same_job, mut runs_no_service) = (false, true);
         for attempt in self.service_attempts(machine).filter(|attempt| attempt.stop.is_none()) {
@@ -50,7 +53,8 @@
         }
     }
 
-    /// Whether a task of a service should wait for the heartbeat of another machine with room that suits it better.
+    /// Returns `true` if a service task should wait for the heartbeat of another machine that has room for it and suits
+    /// it better.
     pub(super) fn should_wait_for_better_machine(
         &self,
         job: &Job,
@@ -76,7 +80,8 @@
         })
     }
 
-    /// Whether a machine has room for a task of the job and suits it better than a machine of the given score.
+    /// Returns `true` if the other machine has room for a task of the job and suits it better than a machine with the
+    /// given score.
     fn is_better(
         &self,
         job: &Job,
@@ -99,8 +104,8 @@
     }
 }
 
-/// What is worth waiting for instead of the machine of the given score, which would fetch the image in `image_fetch`.
-/// `None` if the task should start there at once.
+/// Returns the machines that are worth waiting for instead of a machine with the given score, which would fetch the
+/// image within `image_fetch`. `None` if the task should start there at once.
 fn worth_waiting_for(
     job: &Job,
     score: &PlacementScore,
--- a/src/coordination/placement/urgency.rs
+++ b/src/coordination/placement/urgency.rs
@@ -1,4 +1,4 @@
-//! Urgency of a job: how much time is left for it, and whether it is starved.
+//! Urgency of a job: the time left until its limits, and starvation.
 
 use super::super::shard::Job;
 use super::PlacementContext;
@@ -6,24 +6,25 @@
 use crate::model::{JobKind, MachineId};
 use crate::time::{Span, Time};
 
-/// After how many times the skip limit a job without a running task is starved.
+/// Multiple of the skip limit after which a job without a running task is starved.
 const STARVATION_SKIP_LIMITS: f64 = 1.5;
 
 impl Job {
-    /// The next task that may be started, if there is one.
+    /// Returns the next task that may be started. `None` while the job is not live or is in backoff after failures, or
+    /// if it has no pending task below the start watermark of its record.
     pub fn next_task(&self, now: Time) -> Option<u32> {
         let task = self.progress.pending.first().filter(|task| *task < self.record.start_watermark)?;
-        // A job that fails everywhere tries one task at a time, until one completes.
+        // A job that fails everywhere runs one task at a time until one completes.
         let may_try_another =
             !self.failures.fails_everywhere || self.spec.kind == JobKind::Service || self.progress.running.is_empty();
         (self.is_live() && may_try_another && now >= self.failures.backoff_until).then_some(task)
     }
 
-    /// Seconds left until the first limit that the job can still meet, or `None` if it can meet none.
+    /// Returns the time until the first limit that the job can still meet, in seconds, or `None` if it can meet none.
     ///
     /// The limits are tried in this order: the due time inherited from dependent jobs, the job's own deadline, the
-    /// service-level objectives of its class, and the times at which the inherited due time and the deadline have been
-    /// missed by so much that it does not matter any more.
+    /// service-level objectives of its class, and finally the times at which the inherited due time and the deadline
+    /// have been missed by so much that the result is of no more use.
     pub fn time_left(&self, settings: &Settings, wall_clock_ms: u64) -> Option<f64> {
         let seconds_since = |from_ms: u64| wall_clock_ms.saturating_sub(from_ms) as f64 / 1000.0;
         let seconds_until = |due_ms: u64| (due_ms as f64 - wall_clock_ms as f64) / 1000.0;
@@ -40,7 +41,7 @@
         limits.find(|time_left| *time_left > self.run_time())
     }
 
-    /// The time left in milliseconds, as a sort key: zero if the job is starved, and the maximum if it can meet no
+    /// Returns the time left in milliseconds as a sort key: zero if the job is starved, `u64::MAX` if it can meet no
     /// limit.
     pub fn time_left_ms(&self, settings: &Settings, wall_clock_ms: u64) -> u64 {
         if self.is_starved(settings, wall_clock_ms) {
@@ -49,23 +50,24 @@
         self.time_left(settings, wall_clock_ms).map_or(u64::MAX, |seconds| (seconds * 1e3) as u64)
     }
 
-    /// Whether no task of the job runs, and none has for so long that its next task goes before all others of its
-    /// priority. So every job begins, however many are more urgent.
+    /// Returns `true` if the job is starved: no task of it runs, and the job became ready longer ago than
+    /// [`STARVATION_SKIP_LIMITS`] times the skip limit. Its next task then goes before all others of the same rank, so
+    /// that every job starts eventually, however many jobs are more urgent.
     pub fn is_starved(&self, settings: &Settings, wall_clock_ms: u64) -> bool {
         let waited = Span::millis(wall_clock_ms.saturating_sub(self.ready_ms));
-        // A job that fails everywhere is itself the cause that none of its tasks runs.
+        // A job that fails everywhere has no running task because of its own failures, not for lack of resources.
         self.progress.running.is_empty()
             && !self.failures.fails_everywhere
             && waited > settings.properties.skip_limit.times(STARVATION_SKIP_LIMITS)
     }
 
-    /// Whether a machine may be reserved for the next task of the job: one machine at a time, and each for a limited
-    /// time.
+    /// Returns `true` if the machine may be reserved for the next task of the job. A job reserves one machine at a
+    /// time, and another one only after the skip limit.
     pub(super) fn may_reserve(&self, machine: &MachineId, context: &PlacementContext) -> bool {
         self.waiting.may_reserve(machine, context.settings.properties.skip_limit, context.now)
     }
 
-    /// Whether the job's tasks are kept away from the machine, since one failed there lately.
+    /// Returns `true` if the job's tasks are kept away from the machine because one failed there recently.
     pub fn avoids(&self, machine: &MachineId, now: Time) -> bool {
         self.failures.avoids(machine, now)
     }
--- a/src/coordination/rentals.rs
+++ b/src/coordination/rentals.rs
@@ -11,8 +11,8 @@
 impl Controller {
     /// Adds a rental to the shard's requests.
     ///
-    /// One request serves all jobs: calls are limited, and the cloud either has the machines or it has not. So a
-    /// request that was not sent yet grows.
+    /// A request that was not sent yet grows instead of a second one being made for the same class of machines. Calls
+    /// to the cloud are limited, and the cloud either has machines of a class or it does not.
     pub(super) fn add_rental(&mut self, id: ShardId, mut rental: Rental) {
         let Some(shard) = self.shards.get_mut(&id) else { return };
         let class = rental.class();
@@ -23,13 +23,14 @@
         }
         rental.count = rental.count.min(MAX_RENTED);
         self.counter += 1;
-        // The name is unique for ever: no other leadership term has this revision.
+        // The name is unique for ever: no other leadership term has this revision, and no other request of this node
+        // has this counter value.
         let request = format!("r-{}-{}", shard.term, self.counter);
         shard.fleet.rentals.insert(request, rental);
     }
 
-    /// Sends rentals that were not sent yet or whose answer was lost. Requests are idempotent: sent again under the
-    /// same name, a request rents nothing twice.
+    /// Sends rental requests that were not sent yet or whose answer was lost. Requests are idempotent: a request that
+    /// is sent again under the same name rents nothing twice.
     pub(super) fn send_rentals(&mut self, id: ShardId) {
         let now = self.now;
         let Some(shard) = self.shards.get_mut(&id) else { return };
@@ -66,20 +67,27 @@
             Ok(CloudAnswer::Rented(machines)) => self.machines_rented(id, &request, machines),
             Ok(CloudAnswer::NoCapacity) => self.rental_refused(id, &request),
             Err(CallError::Unexpected(status)) => {
-                log::error!("rental {request} was answered with {status}");
+                log::error!(
+                    "rental request {request}: unexpected answer from the cloud (status {status}); dropping the request"
+                );
                 shard.fleet.rentals.remove(&request);
             }
             _ => {}
         }
     }
 
-    /// Adds machines that were rented to those that boot.
+    /// Adds rented machines to those that are booting. If the cloud rented fewer than requested, the class of machines
+    /// counts as refused.
     fn machines_rented(&mut self, id: ShardId, request: &str, machines: Vec<MachineId>) {
         let now = self.now;
         let Some(shard) = self.shards.get_mut(&id) else { return };
         let Some(rental) = shard.fleet.rentals.remove(request) else { return };
         let Rental { kind, zone, count, .. } = &rental;
-        log::info!("rented {} of {count} {kind} in {zone}{}", machines.len(), rental.spot_label());
+        log::info!(
+            "rental request {request}: rented {} of {count} machines ({kind}, {zone}{})",
+            machines.len(),
+            rental.spot_label()
+        );
         for machine in &machines {
             self.directory.set_machine_shard(machine.clone(), id);
             if !shard.machines.contains_key(machine) {
@@ -95,12 +103,17 @@
         self.cloud.request_plan();
     }
 
-    /// Notes that the cloud has no machines of the requested class.
+    /// Records that the cloud has no machines of the requested class.
     fn rental_refused(&mut self, id: ShardId, request: &str) {
         let now = self.now;
         let Some(shard) = self.shards.get_mut(&id) else { return };
         let Some(rental) = shard.fleet.rentals.remove(request) else { return };
-        log::info!("no {} available in {}{}", rental.kind, rental.zone, rental.spot_label());
+        log::info!(
+            "rental request {request}: no machines available ({}, {}{})",
+            rental.kind,
+            rental.zone,
+            rental.spot_label()
+        );
         shard.fleet.drop_unsent_rentals(&rental);
         self.cloud.record_refusal(rental.class(), now);
         self.cloud.request_plan();
--- a/src/coordination/scale_in/deletion.rs
+++ b/src/coordination/scale_in/deletion.rs
@@ -1,4 +1,4 @@
-//! Deletion of machines at the cloud, and the machines that were deleted lately.
+//! Deletion of machines at the cloud, and the set of machines that were deleted recently.
 
 use super::super::controller::Controller;
 use super::super::pending_calls::CloudOperation;
@@ -9,29 +9,29 @@
 use crate::time::{Span, Time};
 use std::collections::HashSet;
 
-/// How many deleted machines are remembered.
+/// Maximum number of deleted machines that are remembered.
 const MAX_REMEMBERED: usize = 10_000;
-/// How long a deletion may take to be answered before the next one is sent.
+/// Time after which a deletion without an answer no longer holds back the next one.
 const DELETION_TIMEOUT: Span = Span::millis(5000);
-/// How long after a deletion failed it is sent again.
+/// Time after which a failed deletion is sent again.
 const DELETION_RETRY_INTERVAL: Span = Span::millis(1000);
 
-/// The machines that were deleted lately, of which heartbeats may still arrive.
+/// Machines that were deleted recently. Their heartbeats may still arrive.
 #[derive(Default)]
 pub(in crate::coordination) struct RemovedMachines {
-    /// The machines; all are dropped when they become too many.
+    /// Ids of the machines. The set is cleared when it reaches its maximum size.
     machines: HashSet<MachineId>,
-    /// When the record of a machine that is gone was last removed.
+    /// Time at which a record was last removed as stale.
     pub(super) last_record_removal: Time,
 }
 
 impl RemovedMachines {
-    /// Whether the machine was deleted.
+    /// Returns `true` if the machine was deleted.
     pub fn contains(&self, machine: &MachineId) -> bool {
         self.machines.contains(machine)
     }
 
-    /// Remembers a deleted machine.
+    /// Adds a deleted machine.
     fn insert(&mut self, machine: MachineId) {
         if self.machines.len() >= MAX_REMEMBERED {
             self.machines.clear();
@@ -41,7 +41,8 @@
 }
 
 impl Controller {
-    /// Has the cloud delete the machines of the shard that are to be returned.
+    /// Requests deletion of the shard's machines that are marked for it, unless an earlier deletion is unanswered or
+    /// has to be retried later.
     pub(in crate::coordination) fn delete_machines(&mut self, id: ShardId) {
         let now = self.now;
         let Some(shard) = self.shards.get_mut(&id) else { return };
@@ -79,11 +80,11 @@
         }
     }
 
-    /// Gives up a machine after the cloud has confirmed that it is deleted: all that ran there is gone.
+    /// Removes a machine after the cloud has confirmed its deletion. All tasks that ran on it are gone.
     fn machine_deleted(&mut self, id: ShardId, machine: &MachineId) {
         let now = self.now;
         let Some(shard) = self.shards.get_mut(&id) else { return };
-        log::info!("machine {machine} returned");
+        log::info!("machine {machine}: deleted by the cloud; removing it from shard {id}");
         shard.fleet.booting.remove(machine);
         if shard.machines.contains_key(machine) {
             shard.remove_all_attempts(machine, now);
@@ -91,7 +92,7 @@
         }
     }
 
-    /// Removes a machine that is gone from memory; its record is removed later.
+    /// Removes a machine that no longer exists from memory. Its record is removed later.
     pub(super) fn forget_machine(&mut self, id: ShardId, machine: &MachineId) {
         let now = self.now;
         let Some(shard) = self.shards.get_mut(&id) else { return };
--- a/src/coordination/scale_in/listed_machines.rs
+++ b/src/coordination/scale_in/listed_machines.rs
@@ -1,5 +1,5 @@
-//! What follows from the cloud's machine list: failed machines are returned, vanished ones are forgotten, machines that
-//! a former leader has rented are expected, and machines of no shard are returned.
+//! Consequences of a newly read machine list: failed machines are deleted, vanished ones are removed, machines that a
+//! former leader rented are added as booting, and machines that belong to no shard are deleted.
 
 use super::super::controller::Controller;
 use super::super::pending_calls::CloudOperation;
@@ -10,20 +10,22 @@
 use crate::time::Span;
 use crowstall_reconciliation::MachineClass;
 
-/// How long after its worker lease a silent machine that the cloud no longer lists is forgotten.
+/// Time beyond the worker lease and twice the list lag for which a machine that the cloud no longer lists must be
+/// silent before it is removed.
 const VANISHED_MARGIN: Span = Span::millis(10_000);
-/// How long the list may lag, in multiples of the configured lag.
+/// Maximum lag of the list as a multiple of the configured lag.
 const MAX_LIST_LAGS: f64 = 2.0;
 
-/// A machine of no shard that is still booting after this many boot times and [`STUCK_MARGIN`] is returned.
+/// Multiple of the boot time after which, with [`STUCK_MARGIN`] added, a machine that belongs to no shard and is still
+/// booting is deleted.
 const STUCK_BOOT_TIMES: f64 = 4.0;
-/// The margin for machines that are still booting.
+/// Time added to [`STUCK_BOOT_TIMES`] boot times and the list lag.
 const STUCK_MARGIN: Span = Span::millis(30_000);
-/// The age at which a failed machine of no shard is returned.
+/// Age from which a failed machine that belongs to no shard is deleted.
 const FAILED_MACHINE_AGE: Span = Span::millis(30_000);
 
 impl Controller {
-    /// Handles a machine list that has just been read in whole.
+    /// Handles a complete new machine list.
     pub(in crate::coordination) fn machine_list_completed(&mut self) {
         let active: Vec<ShardId> =
             self.shards.values().filter(|shard| shard.is_active()).map(|shard| shard.id).collect();
@@ -36,7 +38,8 @@
         self.return_unknown_machines(&active);
     }
 
-    /// Returns machines of the shard that the cloud lists as failed, and forgets those that it does not list any more.
+    /// Marks for deletion the machines of the shard that the cloud lists as failed, and removes those that the cloud no
+    /// longer lists.
     fn apply_machine_list(&mut self, id: ShardId) {
         let (now, worker_lease, list_lag) = (self.now, self.settings.worker_lease, self.settings.list_lag);
         let list = self.cloud.machine_list();
@@ -57,18 +60,18 @@
             machine.deleting |= has_failed(id);
         }
         for machine in vanished {
-            log::info!("machine {machine} is gone");
+            log::info!("machine {machine}: silent and no longer listed by the cloud; removing it from shard {id}");
             self.forget_machine(id, &machine);
         }
     }
 
-    /// Expects machines that a former leader has rented and that are still booting, so that they are not rented once
-    /// more. Machines that were rented in this term are known; the list would only bring back those that were returned
-    /// since.
+    /// Adds machines that a former leader rented and that are still booting, so that they are not rented again.
+    /// Machines that were rented in this term are already known; adding those from the list would only bring back
+    /// machines that were deleted since.
     fn expect_booting_machines(&mut self, id: ShardId) {
         let now = self.now;
         let Some(acquired_at) = self.shards.get(&id).map(|shard| shard.recovery.acquired_at()) else { return };
-        // The list tells the age of a machine at the time when the list was made, which may lie that long back.
+        // The age of a machine refers to the time at which the cloud made the list, which may be this long ago.
         let rented_until = acquired_at + self.settings.list_lag.times(MAX_LIST_LAGS);
         let is_expected = |entry: &&ListedMachine| {
             entry.state == MachineState::Booting
@@ -79,28 +82,31 @@
         let expected: Vec<ListedMachine> = self.cloud.machine_list().machines().filter(is_expected).cloned().collect();
         let Some(shard) = self.shards.get_mut(&id) else { return };
         for ListedMachine { id: machine, kind, zone, spot, age, .. } in expected {
-            log::debug!("machine {machine} ({kind}, {zone}) is still booting");
-            // The clock of this process may have begun after the machine was rented. Then the machine is given the
-            // whole boot time again.
+            log::debug!(
+                "machine {machine} ({kind}, {zone}): rented by a former leader and still booting; adding it to shard {id}"
+            );
+            // The machine may have been rented before the monotonic clock of this process began. Its time of rental is
+            // then taken as the beginning of the clock, so it gets its whole boot time again.
             let booting = Booting::new(MachineClass { kind, zone, spot }, now - age);
             shard.fleet.booting.insert(machine, booting);
         }
     }
 
-    /// The shard that a machine belongs to: the one that is known, or else the one that its number tells.
+    /// Returns the shard of a machine: the one in the directory or, if the directory has none, the default shard for
+    /// the machine's id.
     fn home_shard(&self, machine: &MachineId) -> ShardId {
         self.directory.machine_shard(machine).unwrap_or_else(|| self.default_shard(machine))
     }
 
-    /// Whether a shard of this node has the machine or expects it.
+    /// Returns `true` if a shard of this node has the machine or expects it to boot.
     fn is_known_machine(&self, machine: &MachineId) -> bool {
         let has = |shard: &Shard| shard.machines.contains_key(machine) || shard.fleet.booting.contains_key(machine);
         self.shards.values().any(has)
     }
 
-    /// Returns machines that belong to no shard: a request that was executed late has rented them, or a controller that
-    /// stopped before it had the answer. Machines that send heartbeats are registered; those that never boot, and
-    /// failed ones, are returned by the leader of the shard that their number tells.
+    /// Deletes machines that belong to no shard. They were rented by a request that was executed late, or by a
+    /// controller that stopped before it received the answer. Machines that send heartbeats become registered; those
+    /// that never boot, and failed ones, are deleted by the leader of the default shard for their id.
     fn return_unknown_machines(&mut self, active: &[ShardId]) {
         if self.cloud.is_deleting_unknown() {
             return;
@@ -114,13 +120,13 @@
         });
         let machines: Vec<MachineId> = unknown.map(|entry| entry.id.clone()).take(MAX_DELETED).collect();
         if !machines.is_empty() && self.cloud.take_call(self.now) {
-            log::info!("returning {} machines that belong to no shard", machines.len());
+            log::info!("deleting {} machines that belong to no shard", machines.len());
             self.cloud.unknown_deletion_sent();
             self.calls.send_to_cloud(CloudCall::Delete(machines), CloudOperation::DeleteUnknown);
         }
     }
 
-    /// Whether a machine has failed, or has been booting for so long that it will not come up.
+    /// Returns `true` if a machine has failed, or has been booting for so long that it will not come up.
     fn will_not_boot(&self, entry: &ListedMachine) -> bool {
         let boot = self.cloud.machine_type(&entry.kind).map_or(Span::ZERO, |kind| kind.boot);
         let max_boot = boot.times(STUCK_BOOT_TIMES) + STUCK_MARGIN + self.settings.list_lag;
--- a/src/coordination/scale_in/mod.rs
+++ b/src/coordination/scale_in/mod.rs
@@ -1,4 +1,4 @@
-//! Scale in: returning machines that are silent, idle, failed, stuck in their boot, or that belong to no shard.
+//! Scale in: deletion of machines that are silent, idle, failed or stuck while booting, or that belong to no shard.
 
 mod deletion;
 mod listed_machines;
@@ -14,45 +14,47 @@
 use crowstall_leadership::LeaderLease;
 use std::collections::HashSet;
 
-/// How long after a failover a machine may take to answer before it is returned.
+/// Time for which a machine that is not reconciled, as after a failover, may be silent before it is deleted.
 const RECONCILIATION_TIMEOUT: Span = Span::millis(3_000);
 
-/// For how many worker leases a machine may lose its answers before it is returned.
+/// Number of worker leases for which a machine may lose the answers to its heartbeats before it is deleted.
 const MAX_ANSWER_LOSS_LEASES: f64 = 3.0;
-/// For how many worker leases a dead machine may be silent before it is returned.
+/// Number of worker leases for which a machine whose worker lease has expired may be silent before it is deleted.
 const MAX_DEAD_LEASES: f64 = 1.5;
 
-/// A machine is not suspected before it has been silent for this share of the worker lease.
+/// Fraction of the worker lease for which a machine may be silent without being suspected.
 const PATIENCE_LEASE_SHARE: f64 = 0.5;
-/// Nor before it has been silent for this many heartbeat intervals.
+/// Number of heartbeat intervals for which a machine may be silent without being suspected.
 const PATIENCE_INTERVALS: f64 = 3.0;
-/// What is added to the time after which a worker that got no answer has tried the next controller.
+/// Margin on the time after which a worker that got no answer has tried the next controller.
 const PATIENCE_MARGIN: Span = Span::millis(500);
-/// A machine that reaches this node has sent a heartbeat within this many intervals and [`RECENT_MARGIN`].
+/// Number of heartbeat intervals within which, with [`RECENT_MARGIN`] added, a machine that reaches this node has sent
+/// a heartbeat.
 const RECENT_INTERVALS: f64 = 1.25;
-/// What is added for a heartbeat that is on its way.
+/// Margin for a heartbeat that is in transit.
 const RECENT_MARGIN: Span = Span::millis(1000);
 
-/// How long a machine may be silent.
+/// Limits on the silence of a machine.
 struct SilenceLimits {
-    /// A machine that was heard within this time reaches this node.
+    /// Time since the last heartbeat within which a machine counts as reaching this node.
     recent: Span,
-    /// A machine that was heard within this time is not suspected.
+    /// Time since the last heartbeat within which a machine is not suspected: the longest of the grace periods.
     patience: Span,
 }
 
-/// Whether the heartbeats of a machine reach this node.
+/// Reachability of this node for the heartbeats of a machine.
 enum Reachability {
-    /// They do, directly.
+    /// Heartbeats arrive directly and recently.
     Reachable,
-    /// They don't, and the machine does not answer.
+    /// No heartbeats arrive, the machine does not answer, and tasks wait for it.
     Silent,
-    /// They come late or by way of other controllers, or the silence does no harm.
+    /// Heartbeats come late or relayed by other controllers, the silence delays no task, or the machine is already
+    /// being deleted.
     Undecided,
 }
 
 impl SilenceLimits {
-    /// Whether the heartbeats of the machine reach this node.
+    /// Returns the reachability of this node for the heartbeats of the machine.
     fn reachability(&self, machine: &Machine, now: Time) -> Reachability {
         let silence = now.since(machine.seen);
         let is_relayed = machine.relayed_at.is_some_and(|at| now.since(at) < self.patience);
@@ -72,12 +74,12 @@
 }
 
 impl Controller {
-    /// Returns machines that do not answer while tasks wait for what may be running on them.
+    /// Deletes machines that do not answer while tasks wait to learn what may be running on them.
     ///
-    /// A silent machine loses its tasks anyway when its worker lease expires, but that may take long, above all after
-    /// a failover; once the cloud has deleted the machine, its tasks may be started elsewhere at once. Where most
-    /// machines are silent or are heard by way of other controllers, the fault is rather on this side, and no machine
-    /// is returned.
+    /// A silent machine loses its tasks anyway when its worker lease expires, but that may take long, especially after
+    /// a failover. Once the cloud has deleted the machine, its tasks may be started elsewhere at once. No machine is
+    /// deleted if more machines are silent than reach this node directly, without a relay: the fault is then probably
+    /// on the side of this node.
     pub(super) fn release_silent_machines(&mut self, id: ShardId) {
         let now = self.now;
         let Some(limits) = self.silence_limits(id) else { return };
@@ -96,31 +98,33 @@
         }
         let silent: Vec<MachineId> = silent.into_iter().cloned().collect();
         for id in silent {
-            log::warn!("machine {id} does not answer and is returned");
             if let Some(machine) = shard.machines.get_mut(&id) {
+                let silence_s = now.since(machine.seen).as_secs();
+                log::warn!("machine {id}: silent for {silence_s:.1} s while tasks may be running on it; deleting it");
                 machine.deleting = true;
             }
         }
     }
 
-    /// How long machines of the shard may be silent.
+    /// Returns the limits on the silence of the shard's machines, or `None` if this node does not have the shard.
     fn silence_limits(&self, id: ShardId) -> Option<SilenceLimits> {
         let (worker_lease, interval) = (self.settings.worker_lease, self.settings.heartbeat_interval);
-        // A worker that loses its answers waits for each of them and then tries the next controller, though its
-        // machine is up.
+        // A worker whose answers are lost waits for each answer until its timeout and only then tries the next
+        // controller, although its machine is up.
         let patience = worker_lease
             .times(PATIENCE_LEASE_SHARE)
             .max(interval.times(PATIENCE_INTERVALS))
             .max(ANSWER_TIMEOUT + NEXT_CONTROLLER_DELAY + PATIENCE_MARGIN);
-        // A heartbeat from longer ago does not show that the machine reaches this node now: when a network partition
-        // begins, all machines fall silent one after another. After a failover workers take longer to find this node.
+        // An older heartbeat does not show that the machine reaches this node now: when a network partition begins, all
+        // machines fall silent one after another. After a failover, workers take longer to find this node.
         let shard = self.shards.get(&id)?;
         let workers_have_found_node = self.now.since(shard.recovery.acquired_at()) >= worker_lease;
         let recent = if workers_have_found_node { interval.times(RECENT_INTERVALS) + RECENT_MARGIN } else { patience };
         Some(SilenceLimits { recent, patience })
     }
 
-    /// Decides which of the shard's machines are returned, after the fleet was planned.
+    /// Marks for deletion the machines of the shard that are no longer needed or no longer of use. Runs after the fleet
+    /// was planned.
     pub(super) fn scale_in(&mut self, id: ShardId) {
         let limits = ReturnLimits {
             now: self.now,
@@ -137,18 +141,19 @@
     }
 }
 
-/// When machines are returned.
+/// Conditions under which machines are deleted.
 struct ReturnLimits {
-    /// The present time.
+    /// Current time.
     now: Time,
-    /// The length of a worker lease.
+    /// Length of a worker lease.
     worker_lease: Span,
-    /// How long a machine without work is kept.
+    /// Time for which a machine without work is kept.
     idle_timeout: Span,
 }
 
 impl ReturnLimits {
-    /// Whether a machine is of no use any more. `unneeded` are the machines that the last plan had no work for.
+    /// Returns `true` if a machine is to be deleted. `unneeded` holds the machines to which the last plan assigned no
+    /// work.
     fn should_return(
         &self,
         id: &MachineId,
@@ -164,14 +169,16 @@
             || self.is_dead(machine, leader_lease)
     }
 
-    /// Whether a machine has lost its answers for so long that it costs more than it is of use.
+    /// Returns `true` if a machine has lost the answers to its heartbeats for so long that it costs more than it is of
+    /// use.
     fn loses_answers_too_long(&self, machine: &Machine) -> bool {
         let loses_answers_since = machine.answer_loss.loss_since().filter(|_| machine.loses_answers);
         let max_loss = self.worker_lease.times(MAX_ANSWER_LOSS_LEASES);
         loses_answers_since.is_some_and(|since| self.now.since(since) > max_loss)
     }
 
-    /// Whether a machine is paid for though its worker lease has expired and its tasks were started elsewhere.
+    /// Returns `true` if a machine has been silent for long and its worker lease has expired, so that its tasks have
+    /// been started elsewhere while the machine still costs money.
     fn is_dead(&self, machine: &Machine, leader_lease: &LeaderLease) -> bool {
         machine.surely_dead(self.now, self.worker_lease, leader_lease)
             && self.now.since(machine.seen) > self.worker_lease.times(MAX_DEAD_LEASES)
--- a/src/coordination/scale_in/stale_records.rs
+++ b/src/coordination/scale_in/stale_records.rs
@@ -1,5 +1,5 @@
-//! Removal of records that are not needed any more: those of machines that are gone, and spent parts of the records of
-//! dependencies.
+//! Removal of records that are no longer needed: records of machines that are gone, and obsolete parts of the records
+//! of dependencies.
 
 use super::super::controller::Controller;
 use super::super::dependencies::DependencyOperation;
@@ -13,14 +13,15 @@
 use crate::storage::keys;
 use crate::time::Span;
 
-/// How many records are removed at once while hardly anything else is written.
+/// Maximum number of records removed at once while little else is written.
 const MAX_REMOVALS_AT_ONCE: usize = 4;
-/// The time between two removals otherwise.
+/// Interval between two removals while other records are being written.
 const REMOVAL_INTERVAL: Span = Span::millis(300);
 
 impl Controller {
-    /// Removes records that are not needed any more, a few at a time: if hundreds of machines are returned at once,
-    /// most removals would be refused again and again, and all other writes along with them.
+    /// Removes records that are no longer needed, a few at a time. If hundreds of machines were deleted at once and all
+    /// their records removed together, most removals would be refused again and again, and all other writes along with
+    /// them.
     pub(in crate::coordination) fn remove_stale_machine_records(&mut self, id: ShardId) {
         let now = self.now;
         let is_quiet = self.calls.is_quiet(now);
@@ -34,7 +35,7 @@
         }
     }
 
-    /// Sends the removal of one record, if there is one to be removed.
+    /// Sends the removal of one record. Returns `false` if there is none to be removed.
     fn remove_one_record(&mut self, leadership: LeadershipTerm) -> bool {
         let id = leadership.shard;
         let Some(shard) = self.shards.get_mut(&id) else { return false };
@@ -42,7 +43,7 @@
             self.remove_machine_record(leadership, machine, version);
             return true;
         }
-        // A part that is left behind by a failover does no harm.
+        // Not retried: an obsolete part that stays behind, for example after a failover, does no harm.
         let Some(key) = shard.dependencies.take_obsolete_part() else { return false };
         let conditions = vec![leadership.condition()];
         let request = StateCall::Commit { conditions, changes: vec![Change::Delete(key)] };
@@ -50,7 +51,7 @@
         true
     }
 
-    /// Sends the removal of a machine's record of the given version.
+    /// Sends the removal of a machine's record, conditional on the given version.
     fn remove_machine_record(&mut self, leadership: LeadershipTerm, machine: MachineId, version: Revision) {
         let key = keys::machine_key(&machine);
         let request = StateCall::Commit {
@@ -60,8 +61,8 @@
         self.call_state(request, MachineOperation::RemoveRecord { leadership, machine, version });
     }
 
-    /// Handles the answer to the removal of a machine's record. A removal without an answer, or one that was refused,
-    /// is sent again; if it was executed after all, the second one fails on the version and is not repeated.
+    /// Handles the answer to the removal of a machine's record. A removal that was not answered or was refused is sent
+    /// again. If the first one was executed after all, the second fails on the version and is not repeated.
     pub(in crate::coordination) fn machine_record_removed(
         &mut self,
         leadership: LeadershipTerm,
--- a/src/coordination/scale_out/demand.rs
+++ b/src/coordination/scale_out/demand.rs
@@ -1,50 +1,51 @@
-//! Demand: how many tasks of each job should have room at once.
+//! Demand: the number of tasks of each job for which the fleet should have room.
 
 use super::super::controller::Controller;
 use super::super::shard::{Job, Shard};
 use crate::model::{JobKind, JobSpec, MachineId, Name, Priority, Quantity, Resources};
 use std::collections::HashMap;
 
-/// The part of the time left that is planned with, since estimated run times are often wrong.
+/// Fraction of the time left that planning relies on, since estimated run times are often wrong.
 const USABLE_TIME_SHARE: f64 = 0.85;
-/// How many tasks a slot takes one after another if the job can meet no limit.
+/// Number of tasks that one slot runs one after another if the job can meet no limit.
 const DEFAULT_TASKS_PER_SLOT: u32 = 2;
-/// How many tasks a slot takes one after another at the most.
+/// Maximum number of tasks that one slot runs one after another.
 const MAX_TASKS_PER_SLOT: f64 = 1000.0;
-/// For how many times the skip limit best-effort work waits for spot machines before on-demand machines are rented for
-/// it. It has to begin within four minutes, and a machine has to boot.
+/// Multiple of the skip limit for which best-effort work waits for spot machines before on-demand machines are rented
+/// for it. Such work has to start within four minutes, and the rented machine still has to boot.
 const SPOT_WAIT_SKIP_LIMITS: f64 = 2.0;
 
-/// What one job needs room for.
+/// Demand of one job for room on machines.
 pub(in crate::coordination) struct Demand {
-    /// The job.
+    /// Job that needs the room.
     pub spec: JobSpec,
-    /// How many tasks need room, at once or one after another.
+    /// Number of tasks that need room, at once or one after another.
     pub count: u32,
-    /// How many of them one slot takes before the job should be done.
+    /// Number of these tasks that one slot runs one after another by the time at which the job should be done.
     pub tasks_per_slot: TasksPerSlot,
-    /// Machines that the job's tasks are kept away from. They are no capacity for the job.
+    /// Machines that the job's tasks are kept away from. They do not count as capacity for the job.
     pub avoids: Vec<MachineId>,
-    /// The job waits for spot machines rather than have on-demand machines rented.
+    /// `true` if the job waits for spot machines instead of having on-demand machines rented.
     pub waits_for_spot: bool,
 }
 
-/// How many tasks of a job one slot takes one after another.
+/// Number of tasks of a job that one slot runs one after another.
 #[derive(Clone, Copy)]
 pub(in crate::coordination) struct TasksPerSlot {
-    /// On a machine that is up.
+    /// Number of tasks on a machine that is up.
     pub on_running_machine: u32,
-    /// On a machine that has to boot first.
+    /// Number of tasks on a machine that has to boot first.
     pub on_new_machine: u32,
 }
 
 impl TasksPerSlot {
-    /// Tasks that do not end need a slot each.
+    /// One task in each slot, for tasks that do not end.
     const ONE: TasksPerSlot = TasksPerSlot { on_running_machine: 1, on_new_machine: 1 };
 }
 
 impl Controller {
-    /// What each job needs room for, in queue order, and the headroom for services.
+    /// Returns the demands of all jobs, the most urgent first. The headroom for services comes after the services that
+    /// lead the list.
     pub(super) fn demands(&self, shard: &Shard) -> Vec<Demand> {
         let jobs = shard.by_urgency(&self.settings, self.wall_clock_ms);
         let mut demands = Vec::new();
@@ -60,12 +61,12 @@
         demands
     }
 
-    /// What one job needs room for. `team_usage` is what the jobs before it use of the team's quota; the job's own part
-    /// is added.
+    /// Returns the demand of one job, or `None` if it needs no further room. `team_usage` holds the resources that more
+    /// urgent jobs of the team use of its quota; those of this job are added to it.
     fn job_demand(&self, job: &Job, team_usage: &mut Resources) -> Option<Demand> {
         let fails_everywhere = job.failures.fails_everywhere;
         let running = job.progress.running.len() as u32;
-        // A job that fails everywhere leads to rentals only for the one task that it tries.
+        // Machines are rented only for the single task that a job that fails everywhere tries.
         let waiting = if fails_everywhere { 1 } else { job.progress.pending.len() + job.progress.unreconciled.len() };
         let (wanted, tasks_per_slot) = match job.spec.kind {
             JobKind::Service if fails_everywhere => ((running + waiting).min(job.spec.tasks), TasksPerSlot::ONE),
@@ -77,7 +78,7 @@
         for _ in 0..slots {
             *team_usage = team_usage.plus(&job.spec.needs);
         }
-        // What running services take of their machines is not part of the bins.
+        // The room of a bin excludes what running services use, so tasks that are already running need no room.
         let already_placed = if job.spec.kind == JobKind::Service { running } else { 0 };
         let max_tasks = max_slots.saturating_mul(tasks_per_slot.on_new_machine);
         let count = wanted.min(max_tasks).saturating_sub(already_placed);
@@ -90,7 +91,7 @@
         Some(Demand { spec: job.spec.clone(), count, tasks_per_slot, avoids, waits_for_spot })
     }
 
-    /// How many tasks of a job may run at once beside the given usage of its team.
+    /// Returns the number of the job's tasks that may run at once in addition to the given usage of its team.
     fn slots_within_quota(&self, job: &Job, team_usage: &Resources) -> u32 {
         let Some(team) = self.settings.teams.get(&job.spec.team) else { return 0 };
         let remaining = |limit: Option<Quantity>, used: Quantity| {
@@ -104,8 +105,8 @@
         remaining.slots(&job.spec.needs)
     }
 
-    /// The demand that keeps room free for more tasks of services, as the headroom property asks. The newest service
-    /// stands for what may be submitted next.
+    /// Returns the demand that keeps room for further tasks of services, as set by the headroom property. It has the
+    /// needs of the newest service, as the best guess of the next submission.
     fn service_headroom(&self, jobs: &[&Job]) -> Option<Demand> {
         let is_healthy_service = |job: &&&Job| job.spec.kind == JobKind::Service && !job.failures.fails_everywhere;
         let services = || jobs.iter().filter(is_healthy_service);
@@ -121,8 +122,8 @@
         })
     }
 
-    /// How many of a job's tasks one slot can take one after another before the job should be done, and before the last
-    /// of them should start if the class has an objective for that.
+    /// Returns the number of tasks that one slot can run one after another before the job should be done. If the class
+    /// has an objective for starting, the last of them also has to start within that objective.
     fn tasks_per_slot(&self, job: &Job) -> TasksPerSlot {
         let boot_s = self.cloud.catalog().map(|kind| kind.boot.as_secs()).fold(f64::MAX, f64::min);
         let fetch_s = self.cloud.least_fetch(job.spec.image_gb);
@@ -135,7 +136,7 @@
             let usable_s = |time_s: f64| time_s - fetch_s - boot_s;
             let by_end = time_to_end_s.map_or(DEFAULT_TASKS_PER_SLOT, |time_s| tasks_within(usable_s(time_s)));
             let by_start = time_to_start_s.map_or(u32::MAX, |time_s| {
-                // The last task only has to start in that time, so one more fits.
+                // The last task only has to start within the time, not end, so one more fits.
                 let last = u32::from(usable_s(time_s) > job.run_time());
                 tasks_within(usable_s(time_s)).saturating_add(last)
             });
@@ -144,9 +145,9 @@
         TasksPerSlot { on_running_machine: target(0.0), on_new_machine: target(boot_s) }
     }
 
-    /// Whether a job uses idle machines and waits for spot machines rather than have on-demand machines rented: work of
-    /// the lowest priority without a time by which it should be done, of a team without a guarantee. It does not wait
-    /// for ever, since there may be no spot machines.
+    /// Returns `true` if a job waits for idle or spot machines instead of having on-demand machines rented. Only job
+    /// arrays of the lowest priority without a due time, of a team without a guarantee, do so. The wait is limited,
+    /// since there may be no spot machines at all.
     fn waits_for_spot(&self, job: &Job) -> bool {
         let spec = &job.spec;
         let inherits_urgency = job
--- a/src/coordination/scale_out/mod.rs
+++ b/src/coordination/scale_out/mod.rs
@@ -1,8 +1,9 @@
-//! Scale out: comparing what the work of a shard needs with the machines it has, and renting what is missing where it
-//! is cheapest and available.
+//! Scale out: comparing the needs of a shard's jobs with the machines that the shard has, and renting the missing ones
+//! where they are cheapest and available.
 //!
-//! Each plan packs the demand of all jobs, the most urgent first, into the machines that are up, booting or requested.
-//! Demand that does not fit leads to rentals; machines that get nothing may be returned or offered to other shards.
+//! Each plan packs the demand of all jobs, the most urgent first, into the machines that are up, booting or requested
+//! from other shards. Machines are rented for the demand that does not fit; machines that receive no demand may be
+//! deleted or offered to other shards.
 
 mod demand;
 mod packing;
@@ -17,16 +18,16 @@
 use crate::time::Span;
 use std::collections::HashMap;
 
-/// How often the fleet is planned.
+/// Interval at which the fleet is planned.
 pub(super) const PLAN_PAUSE: Span = Span::millis(1_000);
-/// How long after leadership was acquired nothing is rented unless the cloud's machine list has been read.
+/// Time after leadership was acquired during which nothing is rented unless the cloud's machine list has been read.
 const MACHINE_LIST_TIMEOUT: Span = Span::millis(3_000);
-/// How long a machine that was requested from another shard counts as coming.
+/// Time for which a machine requested from another shard counts as capacity.
 const REQUESTED_OFFER_TIMEOUT: Span = Span::millis(3_000);
 
 impl Controller {
-    /// Periodic work on the fleet: refreshing what is known of the cloud, returning machines, sending rentals, and
-    /// planning.
+    /// Does the periodic work on the fleet: refreshes the cached state of the cloud, deletes machines, retries
+    /// transfers, sends rental requests and plans the fleet.
     pub(super) fn fleet_tick(&mut self) {
         let now = self.now;
         self.refresh_cloud_state();
@@ -49,12 +50,12 @@
         }
     }
 
-    /// Compares what the shard's work needs with the machines it has, and rents what is missing.
+    /// Compares the demand of the shard's jobs with its machines, and rents the missing machines.
     fn plan_fleet(&mut self, id: ShardId) {
         let now = self.now;
         let Some(shard) = self.shards.get_mut(&id) else { return };
-        // After a failover the machines that the former leader has rented are not known before the cloud has listed
-        // them.
+        // After a failover, the machines that the former leader rented are unknown until the cloud has listed them.
+        // Renting before that could rent the same capacity twice.
         let acquired_at = shard.recovery.acquired_at();
         if !self.cloud.machine_list().was_completed_since(acquired_at) && now.since(acquired_at) < MACHINE_LIST_TIMEOUT
         {
@@ -76,13 +77,13 @@
         self.send_rentals(id);
     }
 
-    /// Chooses rentals for the demand that no machine has room for, and adds them to the bins.
+    /// Chooses rentals for the demand that does not fit into the bins, and adds the machines to be rented to the bins.
     fn plan_rentals(&mut self, id: ShardId, unmet: Vec<Demand>, bins: &mut Vec<PackingBin>) -> Vec<Rental> {
         let wanted_slots = cumulative_slots(&unmet);
         let mut rentals = Vec::new();
         for (demand, wanted_slots) in unmet.into_iter().zip(wanted_slots) {
-            // Machines to be rented for an earlier job may have room for this one, and idle machines of other shards
-            // are available sooner than machines that have to boot.
+            // Machines to be rented for an earlier job may have room for this one. Idle machines of other shards are
+            // available sooner than machines that have to boot, so they are requested first.
             let count = pack(bins, &demand, self.cloud.types());
             let demand = Demand { count, ..demand };
             let count = self.take_offers(id, &demand, bins);
@@ -93,7 +94,7 @@
         rentals
     }
 
-    /// Chooses what to rent for one demand, and packs the demand into it.
+    /// Chooses the class and number of machines to rent for one demand, and packs the demand into them.
     fn plan_rental(&self, demand: Demand, wanted_slots: u32, bins: &mut Vec<PackingBin>, rentals: &mut Vec<Rental>) {
         let Some(class) = self.cheapest_class(&demand, wanted_slots, bins) else { return };
         let Some(kind) = self.cloud.machine_type(&class.kind) else { return };
@@ -108,7 +109,7 @@
     }
 }
 
-/// Packs demands into the bins one after another, and returns what is left of them.
+/// Packs the demands into the bins one after another, and returns the parts that did not fit.
 fn unmet_demands(demands: Vec<Demand>, bins: &mut [PackingBin], types: &HashMap<Name, MachineType>) -> Vec<Demand> {
     let mut unmet = Vec::new();
     for demand in demands {
@@ -120,8 +121,9 @@
     unmet
 }
 
-/// For each demand, how many slots it and those of its kind after it lack. A machine that is too large for one job
-/// alone may be the cheapest for all of them.
+/// Returns, for each demand, the number of slots that the demand and all later demands with the same job kind and the
+/// same use of spot machines lack together. A machine that is too large for one job alone may be the cheapest for all
+/// of them.
 fn cumulative_slots(unmet: &[Demand]) -> Vec<u32> {
     let mut sums: HashMap<_, u32> = HashMap::new();
     let mut slots: Vec<u32> = unmet
--- a/src/coordination/scale_out/packing.rs
+++ b/src/coordination/scale_out/packing.rs
@@ -1,4 +1,4 @@
-//! Bin packing: which machines count as capacity, and how demand is packed into them.
+//! Bin packing: selection of the machines that count as capacity, and distribution of demand over them.
 
 use super::super::controller::Controller;
 use super::super::shard::{Machine, RequestedOffer, Shard};
@@ -8,42 +8,43 @@
 use crowstall_reconciliation::MachineClass;
 use std::collections::HashMap;
 
-/// A machine as the plan sees it: up, booting, or requested.
+/// Machine in a plan: up, booting, requested from another shard, or to be rented.
 pub(in crate::coordination) struct PackingBin {
-    /// The machine; `None` if it is not up yet.
+    /// Id of the machine; `None` if it is not up yet.
     pub id: Option<MachineId>,
-    /// Its type, its zone, and whether it is a spot machine.
+    /// Machine type, zone, and spot or on-demand.
     pub class: MachineClass,
-    /// What is still free in the plan.
+    /// Resources that the plan has not assigned yet.
     pub room: Resources,
-    /// Something was packed into it, or a service runs there.
+    /// `true` if the plan has packed a task into the bin or a service runs on the machine.
     pub used: bool,
 }
 
-/// The order in which bins are filled. It compares by the fields from first to last: the fullest machines first, so
-/// that the emptiest become free and can be returned.
+/// Order in which bins are filled, compared by the fields from first to last. The fullest machines come first, so that
+/// the emptiest stay without work and can be deleted.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct PackingOrder {
-    /// Machines with services or packed tasks first.
+    /// `false`, and so first, for machines with services or packed tasks.
     is_unused: bool,
-    /// Then machines that are up.
+    /// `false`, and so first, for machines that are up.
     is_not_up: bool,
-    /// Then machines with less room.
+    /// CPUs that are still free: fuller machines come first.
     free_cpus: Quantity,
 }
 
 impl PackingBin {
-    /// A machine that is booting or requested, and so has nothing on it.
+    /// Returns an empty bin for a machine that is not up yet.
     pub fn expected(class: MachineClass, room: Resources) -> PackingBin {
         PackingBin { id: None, class, room, used: false }
     }
 
-    /// Where the bin stands before anything is packed.
+    /// Returns the position of the bin in the order in which bins are filled.
     fn order(&self) -> PackingOrder {
         PackingOrder { is_unused: !self.used, is_not_up: self.id.is_none(), free_cpus: self.room.cpus }
     }
 
-    /// Packs up to `count` tasks of a demand into the bin, and returns how many of them it takes.
+    /// Packs up to `count` tasks of a demand into the bin. Returns the number of tasks that the slots taken can run,
+    /// which may be more than `count`.
     fn take(&mut self, demand: &Demand, count: u32) -> u32 {
         let tasks_per_slot = match self.id {
             Some(_) => demand.tasks_per_slot.on_running_machine,
@@ -57,7 +58,7 @@
         slots.saturating_mul(tasks_per_slot)
     }
 
-    /// Whether the machine may run tasks of the demand.
+    /// Returns `true` if the machine may run tasks of the demand.
     fn suits(&self, demand: &Demand) -> bool {
         let is_avoided = self.id.as_ref().is_some_and(|id| demand.avoids.contains(id));
         demand.spec.allows(&self.class.kind, &self.class.zone, self.class.spot) && !is_avoided
@@ -65,7 +66,7 @@
 }
 
 impl Controller {
-    /// The machines of the shard that count as capacity, in the order in which they are filled.
+    /// Returns the machines of the shard that count as capacity, in the order in which they are filled.
     pub(super) fn packing_bins(&self, shard: &Shard) -> Vec<PackingBin> {
         let mut bins = self.running_machine_bins(shard);
         bins.extend(self.expected_machine_bins(shard));
@@ -73,7 +74,8 @@
         bins
     }
 
-    /// Machines that are up, with the room that services leave. Tasks of job arrays are part of the demand.
+    /// Returns bins for the machines that are up, with the resources that services leave. Tasks of job arrays are not
+    /// subtracted, since running ones are part of the demand.
     fn running_machine_bins(&self, shard: &Shard) -> Vec<PackingBin> {
         let (now, worker_lease) = (self.now, self.settings.worker_lease);
         let machines = shard.machines.iter().filter(|(_, machine)| is_capacity(machine, now, worker_lease));
@@ -90,7 +92,7 @@
             .collect()
     }
 
-    /// Machines that are booting, that were requested from other shards, or that are being rented.
+    /// Returns bins for machines that are booting, that were requested from other shards, or that are being rented.
     fn expected_machine_bins(&self, shard: &Shard) -> Vec<PackingBin> {
         let booting = shard.fleet.booting.values().filter(|machine| self.is_awaited(machine));
         let booting = booting.map(|machine| (machine.class(), 1));
@@ -107,7 +109,8 @@
     }
 }
 
-/// Whether a machine that is up counts as capacity.
+/// Returns `true` if a machine that is up counts as capacity: it is not leaving, silent, quarantined or losing the
+/// answers to its heartbeats.
 fn is_capacity(machine: &Machine, now: Time, worker_lease: Span) -> bool {
     let is_leaving = machine.draining || machine.deleting || machine.notice.is_some();
     let is_silent = now.since(machine.seen) > worker_lease;
@@ -115,7 +118,8 @@
     !is_leaving && !is_silent && !is_quarantined && !machine.loses_answers
 }
 
-/// Packs as much of a demand as possible into the bins, spot machines first; returns how many tasks are left.
+/// Packs as much of a demand as possible into the bins, spot machines first. Returns the number of tasks that did not
+/// fit.
 pub(in crate::coordination) fn pack(
     bins: &mut [PackingBin],
     demand: &Demand,
--- a/src/coordination/scale_out/rental_choice.rs
+++ b/src/coordination/scale_out/rental_choice.rs
@@ -1,28 +1,28 @@
-//! Which class of machines is rented: the cheapest per slot that boots reliably.
+//! Choice of the machine class to rent: the cheapest per slot that boots reliably.
 
 use super::super::controller::Controller;
 use super::{Demand, PackingBin};
 use crate::model::{JobKind, JobSpec, MachineType};
 use crowstall_reconciliation::MachineClass;
 
-/// Costs that differ by less count as equal: the sums of floating-point numbers are not exact.
+/// Tolerance within which costs count as equal, since sums of floating-point numbers are not exact.
 const COST_TOLERANCE: f64 = 1e-9;
 
-/// Machines that could be rented for a demand.
+/// Class of machines that could be rented for a demand.
 struct RentalOption {
-    /// The class of the machines.
+    /// Class of the machines.
     class: MachineClass,
-    /// Most machines of the type did not boot in time in the zone lately.
+    /// `true` if most machines of the type did not boot in time in the zone recently.
     boots_late: bool,
-    /// What the machines cost for as long as they can't be returned, in the unit of the catalog's prices.
+    /// Cost of the machines for as long as they can't be deleted, in the unit of the catalog's prices.
     cost: f64,
-    /// How many machines of the plan are in the zone.
+    /// Number of machines in the plan that are in the zone.
     machines_in_zone: usize,
 }
 
 impl RentalOption {
-    /// Whether this option is to be preferred. Machines that boot late are the last choice, however cheap they are;
-    /// options of equal cost differ by how many machines a failure of the zone would take.
+    /// Returns `true` if this option is preferred to the other. Machines that boot late come last, however cheap they
+    /// are. Among options of equal cost, the zone with fewer machines wins, which limits the loss when a zone fails.
     fn is_better_than(&self, other: &RentalOption) -> bool {
         if self.boots_late != other.boots_late {
             return other.boots_late;
@@ -33,7 +33,8 @@
 }
 
 impl Controller {
-    /// The class of machines that costs least per slot, if `wanted_slots` are wanted in all.
+    /// Returns the class of machines that costs least per slot if `wanted_slots` are needed in all. `None` if no class
+    /// is available and allowed.
     pub(super) fn cheapest_class(
         &self,
         demand: &Demand,
@@ -56,7 +57,8 @@
         best.map(|option| option.class)
     }
 
-    /// The zones in which machines of the type could be rented for a job.
+    /// Returns an option for each zone in which machines of the type can be rented for the job. Zones in which the
+    /// cloud recently had no such machines are left out.
     fn rental_options(
         &self,
         spec: &JobSpec,
@@ -80,18 +82,18 @@
     }
 }
 
-/// Whether spot or on-demand machines may be rented for a demand.
+/// Returns `true` if spot or, for `spot == false`, on-demand machines may be rented for a demand.
 fn allows_price(demand: &Demand, spot: bool) -> bool {
     if spot { demand.spec.spot } else { !(demand.spec.spot && demand.waits_for_spot) }
 }
 
-/// What machines of the type cost that have the wanted number of slots.
+/// Returns the cost of machines of the type that have the wanted number of slots together.
 fn rental_cost(spec: &JobSpec, wanted_slots: u32, kind: &MachineType, spot: bool) -> f64 {
     let slots = kind.room.slots(&spec.needs).max(1);
     let machines = wanted_slots.div_ceil(slots);
-    // A machine can be returned only when the last of its services' tasks has ended, which takes the longer the more
-    // of them there are: of n tasks that end at random, the last runs for the n-th harmonic number times as long as
-    // one alone.
+    // A machine can be deleted only after the last task of its services has ended, and that takes longer the more of
+    // them there are: of n tasks that end at random, the last one runs on average for the n-th harmonic number times as
+    // long as a single task.
     let time_factor: f64 = match spec.kind {
         JobKind::Service => (1..=slots.min(wanted_slots)).map(|n| 1.0 / f64::from(n)).sum(),
         JobKind::Array => 1.0,
