--- a/src/coordination/boot_statistics.rs
+++ b/src/coordination/boot_statistics.rs
@@ -15,23 +15,23 @@
 /// Minimum number of recent boots on which a conclusion is based.
 const MIN_BOOTS: usize = 3;
 /// Fraction of boots in time below which machines of the type are avoided in the zone.
-const MIN_RELIABLE_SHARE: f64 = 0.5;
+const MIN_RELIABLE_FRACTION: f64 = 0.5;
 /// Fraction of boots in time below which the zone's machines count as booting late or never.
-const MIN_SHARE_IN_TIME: f64 = 0.15;
+const MIN_FRACTION_IN_TIME: f64 = 0.15;
 
 /// Multiple of the catalog's boot time after which, with [`OVERDUE_MARGIN`] added, a machine is overdue.
 const OVERDUE_BOOT_TIMES: f64 = 1.8;
 /// Time added to [`OVERDUE_BOOT_TIMES`] boot times.
 const OVERDUE_MARGIN: Span = Span::millis(5000);
-/// Multiple of the boot time after which, with [`GIVE_UP_MARGIN`] added, an overdue machine is deleted.
-const GIVE_UP_BOOT_TIMES: f64 = 2.5;
-/// Time added to [`GIVE_UP_BOOT_TIMES`] boot times.
-const GIVE_UP_MARGIN: Span = Span::millis(10_000);
-/// Multiple of the boot time after which, with [`GIVE_UP_MARGIN_IF_ALL_LATE`] added, an overdue machine is deleted
+/// Multiple of the boot time after which, with [`DELETION_MARGIN`] added, an overdue machine is deleted.
+const DELETION_BOOT_TIMES: f64 = 2.5;
+/// Time added to [`DELETION_BOOT_TIMES`] boot times.
+const DELETION_MARGIN: Span = Span::millis(10_000);
+/// Multiple of the boot time after which, with [`DELETION_MARGIN_IF_ALL_LATE`] added, an overdue machine is deleted
 /// while all machines of the type boot late. It is longer, since a machine rented instead would be late as well.
-const GIVE_UP_BOOT_TIMES_IF_ALL_LATE: f64 = 6.0;
-/// Time added to [`GIVE_UP_BOOT_TIMES_IF_ALL_LATE`] boot times.
-const GIVE_UP_MARGIN_IF_ALL_LATE: Span = Span::millis(30_000);
+const DELETION_BOOT_TIMES_IF_ALL_LATE: f64 = 6.0;
+/// Time added to [`DELETION_BOOT_TIMES_IF_ALL_LATE`] boot times.
+const DELETION_MARGIN_IF_ALL_LATE: Span = Span::millis(30_000);
 /// Multiple of the boot time for which, with [`AWAITED_MARGIN`] added, an overdue machine counts as capacity while all
 /// machines of the type boot late.
 const AWAITED_BOOT_TIMES: f64 = 5.0;
@@ -73,7 +73,7 @@
     }
 
     /// Returns the fraction of the recent boots that were in time, or `None` if there were fewer than [`MIN_BOOTS`].
-    fn share_in_time(&self, kind: &Name, zone: &Name, now: Time) -> Option<f64> {
+    fn fraction_in_time(&self, kind: &Name, zone: &Name, now: Time) -> Option<f64> {
         let boots = self.boots.get(&BootClass { kind: kind.clone(), zone: zone.clone() })?;
         let recent = || boots.iter().filter(|boot| now.since(boot.at) <= OBSERVATION_PERIOD);
         let count = recent().count();
@@ -83,29 +83,31 @@
 
     /// Returns `true` if most machines of the type did not boot in time in the zone recently, so that other machines
     /// are preferred.
-    pub fn is_bad(&self, kind: &Name, zone: &Name, now: Time) -> bool {
-        self.share_in_time(kind, zone, now).is_some_and(|share| share < MIN_RELIABLE_SHARE)
+    pub fn is_unreliable(&self, kind: &Name, zone: &Name, now: Time) -> bool {
+        self.fraction_in_time(kind, zone, now).is_some_and(|fraction| fraction < MIN_RELIABLE_FRACTION)
     }
 
     /// Returns `true` if hardly any machine of the type boots in time in any zone. Machines rented in place of late
     /// ones would then be late as well.
-    fn all_late(&self, kind: &MachineType, now: Time) -> bool {
-        let is_late = |zone| self.share_in_time(&kind.name, zone, now).is_some_and(|share| share < MIN_SHARE_IN_TIME);
-        kind.zones.iter().all(is_late)
+    fn all_late(&self, machine_type: &MachineType, now: Time) -> bool {
+        let is_late = |zone| {
+            self.fraction_in_time(&machine_type.name, zone, now).is_some_and(|fraction| fraction < MIN_FRACTION_IN_TIME)
+        };
+        machine_type.zones.iter().all(is_late)
     }
 }
 
 /// Returns the time since its rental after which a machine that is not up is overdue.
-fn overdue_after(kind: &MachineType) -> Span {
-    kind.boot.times(OVERDUE_BOOT_TIMES) + OVERDUE_MARGIN
+fn overdue_after(machine_type: &MachineType) -> Span {
+    machine_type.boot.times(OVERDUE_BOOT_TIMES) + OVERDUE_MARGIN
 }
 
 /// Returns the time since its rental after which an overdue machine is deleted.
-fn given_up_after(kind: &MachineType, all_late: bool) -> Span {
+fn deleted_after(machine_type: &MachineType, all_late: bool) -> Span {
     if all_late {
-        kind.boot.times(GIVE_UP_BOOT_TIMES_IF_ALL_LATE) + GIVE_UP_MARGIN_IF_ALL_LATE
+        machine_type.boot.times(DELETION_BOOT_TIMES_IF_ALL_LATE) + DELETION_MARGIN_IF_ALL_LATE
     } else {
-        kind.boot.times(GIVE_UP_BOOT_TIMES) + GIVE_UP_MARGIN
+        machine_type.boot.times(DELETION_BOOT_TIMES) + DELETION_MARGIN
     }
 }
 
@@ -116,9 +118,9 @@
         let Some(shard) = self.shards.get_mut(&id) else { return };
         let (types, statistics) = self.cloud.types_and_boot_statistics_mut();
         for (machine_id, machine) in &mut shard.fleet.booting {
-            let Some(kind) = types.get(&machine.kind) else { continue };
+            let Some(machine_type) = types.get(&machine.kind) else { continue };
             let age = now.since(machine.since);
-            if age > overdue_after(kind) && !machine.overdue {
+            if age > overdue_after(machine_type) && !machine.overdue {
                 log::debug!(
                     "machine {machine_id} ({}, {}): not up {:.1} s after it was rented; counting the boot as overdue",
                     machine.kind,
@@ -129,7 +131,8 @@
                 statistics.record(&machine.kind, &machine.zone, false, now);
             }
             // No machine is deleted before it is overdue, so the statistics need not be read for the others.
-            machine.deleting |= machine.overdue && age > given_up_after(kind, statistics.all_late(kind, now));
+            machine.deleting |=
+                machine.overdue && age > deleted_after(machine_type, statistics.all_late(machine_type, now));
         }
     }
 
@@ -137,9 +140,10 @@
     /// count and a replacement is rented. If all machines of the type boot late, it counts for some time; otherwise
     /// ever more machines would be rented.
     pub(super) fn is_awaited(&self, machine: &Booting) -> bool {
-        let Some(kind) = self.cloud.machine_type(&machine.kind) else { return false };
-        let awaited_until = machine.since + (kind.boot.times(AWAITED_BOOT_TIMES) + AWAITED_MARGIN);
-        let may_only_be_late = || self.now < awaited_until && self.cloud.boot_statistics().all_late(kind, self.now);
+        let Some(machine_type) = self.cloud.machine_type(&machine.kind) else { return false };
+        let awaited_until = machine.since + (machine_type.boot.times(AWAITED_BOOT_TIMES) + AWAITED_MARGIN);
+        let may_only_be_late =
+            || self.now < awaited_until && self.cloud.boot_statistics().all_late(machine_type, self.now);
         !machine.deleting && (!machine.overdue || may_only_be_late())
     }
 }
--- a/src/coordination/cloud.rs
+++ b/src/coordination/cloud.rs
@@ -45,7 +45,7 @@
     /// Time at which the fleet was last planned; zero if it has to be planned at once.
     planned_at: Time,
     /// `true` while a call that deletes machines of no shard is in flight.
-    deletes_unknown: bool,
+    unknown_deletion_in_flight: bool,
     /// Outcomes of the recent boots of machines.
     boot_statistics: BootStatistics,
 }
@@ -70,7 +70,7 @@
             rate_limiter: RateLimiter::new(settings.cloud_rps, BURST_SECONDS * settings.cloud_rps),
             refusals: BTreeMap::new(),
             planned_at: Time::ZERO,
-            deletes_unknown: false,
+            unknown_deletion_in_flight: false,
             boot_statistics: BootStatistics::default(),
         }
     }
@@ -127,29 +127,29 @@
     }
 
     /// Returns `true` if at least the given fraction of the calls that the cloud allows at once is left.
-    pub fn has_spare_calls(&mut self, share: f64, now: Time) -> bool {
-        self.rate_limiter.is_filled_to(now, share)
+    pub fn has_spare_calls(&mut self, fraction: f64, now: Time) -> bool {
+        self.rate_limiter.is_filled_to(now, fraction)
     }
 
     /// Returns `true` if a call that deletes machines of no shard is in flight.
     pub fn is_deleting_unknown(&self) -> bool {
-        self.deletes_unknown
+        self.unknown_deletion_in_flight
     }
 
     /// Records that a call that deletes machines of no shard was sent.
     pub fn unknown_deletion_sent(&mut self) {
-        self.deletes_unknown = true;
+        self.unknown_deletion_in_flight = true;
     }
 
     /// Records that a call that deletes machines of no shard was answered.
     fn unknown_deletion_answered(&mut self) {
-        self.deletes_unknown = false;
+        self.unknown_deletion_in_flight = false;
     }
 
-    /// Begins a plan if the catalog is known and the fleet was last planned at least `pause` ago. Returns `true` if the
-    /// fleet is to be planned now.
-    pub fn begin_plan(&mut self, pause: Span, now: Time) -> bool {
-        let is_due = self.has_catalog() && now.since(self.planned_at) >= pause;
+    /// Begins a plan if the catalog is known and the fleet was last planned at least `min_interval` ago. Returns `true`
+    /// if the fleet is to be planned now.
+    pub fn begin_plan(&mut self, min_interval: Span, now: Time) -> bool {
+        let is_due = self.has_catalog() && now.since(self.planned_at) >= min_interval;
         if is_due {
             self.planned_at = now;
         }
@@ -158,12 +158,12 @@
 
     /// Returns the resources of a machine of the given type, if the type is known.
     pub fn room(&self, kind: &Name) -> Option<Resources> {
-        self.machine_type(kind).map(|kind| kind.room)
+        self.machine_type(kind).map(|machine_type| machine_type.room)
     }
 
     /// Returns the time in seconds in which the fastest machine type fetches an image; `f64::MAX` if no type is known.
     pub fn least_fetch(&self, image_gb: f64) -> f64 {
-        self.types.values().map(|kind| image_gb / kind.fetch_gb_per_s).fold(f64::MAX, f64::min)
+        self.types.values().map(|machine_type| image_gb / machine_type.fetch_gb_per_s).fold(f64::MAX, f64::min)
     }
 
     /// Sets the number of calls per second that this node may make.
@@ -211,7 +211,7 @@
         if let Ok(CloudAnswer::Catalog(types)) = answer
             && !types.is_empty()
         {
-            self.types = types.iter().map(|kind| (kind.name.clone(), kind.clone())).collect();
+            self.types = types.iter().map(|machine_type| (machine_type.name.clone(), machine_type.clone())).collect();
             self.catalog = Some(types);
         }
     }
--- a/src/coordination/machine_list.rs
+++ b/src/coordination/machine_list.rs
@@ -16,7 +16,7 @@
 /// Interval at which reading is attempted while no list was completed in the newest leadership term of this node.
 const FIRST_LIST_INTERVAL: Span = Span::millis(500);
 /// Fraction of the calls that the cloud allows at once which is left to rentals and deletions while pages are read.
-const SHARE_LEFT_TO_OTHERS: f64 = 0.25;
+const RESERVED_CALL_FRACTION: f64 = 0.25;
 /// Maximum time for reading a list. After it, reading starts over, since the first pages are outdated.
 const MAX_LIST_AGE: Span = Span::millis(30_000);
 
@@ -108,7 +108,7 @@
     fn request_next_page(&mut self) {
         let now = self.now;
         if !matches!(self.cloud.machine_list().progress, ListProgress::PageWaiting(_))
-            || !self.cloud.has_spare_calls(SHARE_LEFT_TO_OTHERS, now)
+            || !self.cloud.has_spare_calls(RESERVED_CALL_FRACTION, now)
             || !self.cloud.take_call(now)
         {
             return;
--- a/src/coordination/machine_transfer.rs
+++ b/src/coordination/machine_transfer.rs
@@ -33,7 +33,7 @@
 impl Controller {
     /// Requests idle machines of other shards that a job could use, and adds them to the bins. Returns the number of
     /// the job's tasks that still do not fit.
-    pub(super) fn take_offers(&mut self, id: ShardId, demand: &Demand, bins: &mut Vec<PackingBin>) -> u32 {
+    pub(super) fn request_offers(&mut self, id: ShardId, demand: &Demand, bins: &mut Vec<PackingBin>) -> u32 {
         let mut remaining = Demand { spec: demand.spec.clone(), avoids: demand.avoids.clone(), ..*demand };
         for offer in self.offers_to(id) {
             if remaining.count == 0 {
--- a/src/coordination/placement/binding.rs
+++ b/src/coordination/placement/binding.rs
@@ -19,13 +19,13 @@
     /// Machine that receives the tasks.
     machine_id: &'a MachineId,
     /// Type of the machine.
-    kind: &'a MachineType,
+    machine_type: &'a MachineType,
     /// Zone of the machine.
     zone: Name,
     /// `true` if the machine is a spot machine.
     spot: bool,
     /// Number of the heartbeat that is being answered.
-    sent_in: HeartbeatNumber,
+    heartbeat: HeartbeatNumber,
     /// Resources that are still free on the machine.
     free: Resources,
     /// Maximum number of commands in the answer to the heartbeat.
@@ -33,7 +33,7 @@
     /// Commands that start the tasks bound so far.
     commands: Vec<Command>,
     /// Jobs that were skipped: their next task does not fit now, but would fit if array tasks on the machine ended.
-    passed_over: Vec<JobId>,
+    skipped: Vec<JobId>,
 }
 
 impl Binding<'_> {
@@ -51,10 +51,10 @@
     NextJob,
     /// Skip the job for now: the task would fit once array tasks on the machine end. Jobs behind it may use the free
     /// resources until the skip limit is reached.
-    PassOver,
+    Skip,
     /// Bind nothing more to the machine: the job has been skipped for longer than the skip limit, so the free resources
     /// are kept for it.
-    KeepFree,
+    BlockLaterJobs,
     /// Reserve the machine for the job, which is starved, and bind nothing more to the machine until the task fits.
     Reserve,
 }
@@ -92,21 +92,21 @@
         context: &PlacementContext<'a>,
     ) -> Option<Binding<'a>> {
         let machine = self.machines.get(machine_id)?;
-        let kind = context.types.get(&machine.kind)?;
-        let free = kind.room.minus(&machine.used());
+        let machine_type = context.types.get(&machine.kind)?;
+        let free = machine_type.room.minus(&machine.used());
         if !machine.accepts_tasks(context.now) || free.cpus == Quantity(0) {
             return None;
         }
         Some(Binding {
             machine_id,
-            kind,
+            machine_type,
             zone: machine.zone.clone(),
             spot: machine.spot,
-            sent_in: machine.last_heartbeat,
+            heartbeat: machine.last_heartbeat,
             free,
             max_commands,
             commands: Vec::new(),
-            passed_over: Vec::new(),
+            skipped: Vec::new(),
         })
     }
 
@@ -125,15 +125,20 @@
             match self.decide_binding(job, binding, context) {
                 BindingDecision::Start => {
                     *counter += 1;
-                    let no = attempt_no(self.term, *counter);
-                    self.start_task(TaskId { job: job_id.clone(), task: TaskIndex(task) }, no, binding, context.now);
+                    let attempt_number = attempt_number(self.term, *counter);
+                    self.start_task(
+                        TaskId { job: job_id.clone(), task: TaskIndex(task) },
+                        attempt_number,
+                        binding,
+                        context.now,
+                    );
                 }
                 BindingDecision::NextJob => break,
-                BindingDecision::PassOver => {
-                    binding.passed_over.push(job_id.clone());
+                BindingDecision::Skip => {
+                    binding.skipped.push(job_id.clone());
                     break;
                 }
-                BindingDecision::KeepFree => return ControlFlow::Break(()),
+                BindingDecision::BlockLaterJobs => return ControlFlow::Break(()),
                 BindingDecision::Reserve => {
                     self.reserve_machine(job_id, binding.machine_id, context.now);
                     return ControlFlow::Break(());
@@ -145,7 +150,7 @@
 
     /// Decides whether the next task of a job is bound to the machine.
     fn decide_binding(&self, job: &Job, binding: &Binding, context: &PlacementContext) -> BindingDecision {
-        let is_allowed = job.spec.allows(&binding.kind.name, &binding.zone, binding.spot);
+        let is_allowed = job.spec.allows(&binding.machine_type.name, &binding.zone, binding.spot);
         if !is_allowed || job.avoids(binding.machine_id, context.now) {
             return BindingDecision::NextJob;
         }
@@ -167,18 +172,18 @@
     fn decide_without_room(&self, job: &Job, binding: &Binding, context: &PlacementContext) -> BindingDecision {
         let service_usage =
             self.machines.get(binding.machine_id).map(|machine| self.service_usage(machine)).unwrap_or_default();
-        if !job.spec.needs.fits_in(&binding.kind.room.minus(&service_usage)) {
+        if !job.spec.needs.fits_in(&binding.machine_type.room.minus(&service_usage)) {
             return BindingDecision::NextJob;
         }
         let skip_limit = context.settings.properties.skip_limit;
         if job.waiting.skipped_since.is_some_and(|since| context.now.since(since) > skip_limit) {
-            return BindingDecision::KeepFree;
+            return BindingDecision::BlockLaterJobs;
         }
         let is_starved = job.is_starved(context.settings, context.wall_clock_ms);
         if is_starved && job.may_reserve(binding.machine_id, context) && self.zone_allows(job, &binding.zone) {
             return BindingDecision::Reserve;
         }
-        BindingDecision::PassOver
+        BindingDecision::Skip
     }
 
     /// Reserves the machine for the next task of a job. A reservation of the same machine that exists already keeps its
@@ -190,7 +195,7 @@
     }
 
     /// Records the start of a task on the machine, and adds the command that starts it to the answer.
-    fn start_task(&mut self, task: TaskId, no: AttemptNumber, binding: &mut Binding, now: Time) {
+    fn start_task(&mut self, task: TaskId, attempt_number: AttemptNumber, binding: &mut Binding, now: Time) {
         let Some(job) = self.jobs.get(&task.job) else { return };
         let machine_id = binding.machine_id;
         let (image, image_gb) = (job.spec.image.clone(), job.spec.image_gb);
@@ -199,21 +204,21 @@
             team: job.spec.team.clone(),
             needs: job.spec.needs,
             state: None,
-            sent_in: binding.sent_in,
+            sent_in: binding.heartbeat,
             running_since: None,
             progress: AttemptProgress::default(),
             stop: None,
         };
-        log::debug!("task {task}: starting attempt {no} on machine {machine_id}");
+        log::debug!("task {task}: starting attempt {attempt_number} on machine {machine_id}");
         binding.free = binding.free.minus(&attempt.needs);
-        self.place(machine_id, no, attempt);
+        self.place(machine_id, attempt_number, attempt);
         self.recovery.record_task_start(now);
         if let Some(machine) = self.machines.get_mut(machine_id) {
-            machine.record_image(&image, image_gb, binding.kind.cache_gb);
+            machine.record_image(&image, image_gb, binding.machine_type.cache_gb);
         }
         self.end_waiting(&task.job);
-        self.record_skipped(binding.passed_over.drain(..), now);
-        binding.commands.push(Command::Run { task, attempt: no });
+        self.record_skipped(binding.skipped.drain(..), now);
+        binding.commands.push(Command::Run { task, attempt: attempt_number });
     }
 
     /// Clears the waiting state of a job that has started a task: the time since which it was skipped, its machine
@@ -238,7 +243,7 @@
 
 /// Returns an attempt number that no attempt of another leadership term has, since its upper bits are the term's
 /// revision.
-fn attempt_no(term: Revision, counter: u64) -> AttemptNumber {
+fn attempt_number(term: Revision, counter: u64) -> AttemptNumber {
     let counter_mask = (1 << ATTEMPT_COUNTER_BITS) - 1;
     AttemptNumber((term.0 << ATTEMPT_COUNTER_BITS) | (counter & counter_mask))
 }
--- a/src/coordination/placement/preemption.rs
+++ b/src/coordination/placement/preemption.rs
@@ -108,8 +108,8 @@
         let machines = self.machines.iter().filter(|(_, machine)| machine.accepts_tasks(context.now));
         machines
             .filter_map(|(id, machine)| {
-                let kind = context.types.get(&machine.kind)?;
-                Some(FreeRoom { machine: id.clone(), room: kind.room.minus(&machine.committed_resources()) })
+                let machine_type = context.types.get(&machine.kind)?;
+                Some(FreeRoom { machine: id.clone(), room: machine_type.room.minus(&machine.committed_resources()) })
             })
             .collect()
     }
@@ -189,9 +189,9 @@
             return None;
         }
         let machine = self.machines.get(&free.machine)?;
-        let kind = context.types.get(&machine.kind)?;
+        let machine_type = context.types.get(&machine.kind)?;
         let victims = self.cheapest_victims(job, machine, &free.room, context.now)?;
-        let score = self.placement_score(job, machine, kind.room.cpus);
+        let score = self.placement_score(job, machine, machine_type.room.cpus);
         Some(PreemptionCandidate { score, victims, index })
     }
 
@@ -217,10 +217,10 @@
     fn possible_victims(&self, job: &Job, machine: &Machine, now: Time) -> Vec<Victim> {
         let attempts = machine.attempts.iter().filter(|(_, attempt)| !attempt.is_over() && attempt.stop.is_none());
         attempts
-            .filter_map(|(no, attempt)| {
+            .filter_map(|(attempt_number, attempt)| {
                 let other = self.jobs.get(&attempt.task.job)?;
                 let run_time_s = attempt.running_since.map_or(0.0, |since| now.since(since).as_secs());
-                let victim = Victim { attempt: *no, run_time_s, needs: attempt.needs };
+                let victim = Victim { attempt: *attempt_number, run_time_s, needs: attempt.needs };
                 (other.rank() > job.spec.priority).then_some(victim)
             })
             .collect()
@@ -230,8 +230,8 @@
     /// one.
     fn mark_victims(&mut self, machine_id: &MachineId, victims: &[AttemptNumber]) {
         let Some(machine) = self.machines.get_mut(machine_id) else { return };
-        for no in victims {
-            let Some(attempt) = machine.attempts.get_mut(no) else { continue };
+        for attempt_number in victims {
+            let Some(attempt) = machine.attempts.get_mut(attempt_number) else { continue };
             let spec = self.jobs.get(&attempt.task.job).map(|job| &job.spec);
             let grace_s = spec.filter(|spec| spec.checkpoint_s > 0.0).map_or(0.0, |spec| spec.save_s);
             attempt.stop = Some(grace_s);
--- a/src/coordination/placement/score.rs
+++ b/src/coordination/placement/score.rs
@@ -67,9 +67,9 @@
             return false;
         }
         let Some(machine) = self.machines.get(machine_id) else { return false };
-        let Some(kind) = context.types.get(&machine.kind) else { return false };
-        let score = self.placement_score(job, machine, kind.room.cpus);
-        let image_fetch = Span::secs(job.spec.image_gb / kind.fetch_gb_per_s);
+        let Some(machine_type) = context.types.get(&machine.kind) else { return false };
+        let score = self.placement_score(job, machine, machine_type.room.cpus);
+        let image_fetch = Span::secs(job.spec.image_gb / machine_type.fetch_gb_per_s);
         let Some(worth_waiting_for) = worth_waiting_for(job, &score, image_fetch, max_wait, context) else {
             return false;
         };
@@ -94,13 +94,13 @@
         let may_run = other.accepts_tasks(context.now)
             && job.spec.allows(&other.kind, &other.zone, other.spot)
             && !job.avoids(other_id, context.now);
-        let Some(kind) = context.types.get(&other.kind).filter(|_| may_run) else { return false };
-        let other_score = self.placement_score(job, other, kind.room.cpus);
+        let Some(machine_type) = context.types.get(&other.kind).filter(|_| may_run) else { return false };
+        let other_score = self.placement_score(job, other, machine_type.room.cpus);
         let suits_better = match worth_waiting_for {
             WorthWaitingFor::BetterScore => other_score < *score,
             WorthWaitingFor::Image => !other_score.lacks_image,
         };
-        suits_better && job.spec.needs.fits_in(&kind.room.minus(&other.committed_resources()))
+        suits_better && job.spec.needs.fits_in(&machine_type.room.minus(&other.committed_resources()))
     }
 }
 
--- a/src/coordination/placement/urgency.rs
+++ b/src/coordination/placement/urgency.rs
@@ -25,20 +25,25 @@
     /// The limits are tried in this order: the due time inherited from dependent jobs, the job's own deadline, the
     /// service-level objectives of its class, and finally the times at which the inherited due time and the deadline
     /// have been missed by so much that the result is of no more use.
-    pub fn time_left(&self, settings: &Settings, wall_clock_ms: u64) -> Option<f64> {
+    pub fn time_left_s(&self, settings: &Settings, wall_clock_ms: u64) -> Option<f64> {
         let seconds_since = |from_ms: u64| wall_clock_ms.saturating_sub(from_ms) as f64 / 1000.0;
         let seconds_until = |due_ms: u64| (due_ms as f64 - wall_clock_ms as f64) / 1000.0;
-        let since_accepted = seconds_since(self.accepted_ms);
-        let since_ready = seconds_since(self.ready_ms);
-        let inherited_due = self.inherited_urgency.and_then(|urgency| urgency.due_ms).map(seconds_until);
-        let deadline = self.spec.deadline_s.map(|within| within - since_accepted);
+        let since_accepted_s = seconds_since(self.accepted_ms);
+        let since_ready_s = seconds_since(self.ready_ms);
+        let until_inherited_due_s = self.inherited_urgency.and_then(|urgency| urgency.due_ms).map(seconds_until);
+        let until_deadline_s = self.spec.deadline_s.map(|within| within - since_accepted_s);
         let objectives = settings.finish_within.get(&self.spec.class).into_iter().flatten();
-        let objectives = objectives.map(|within| within.as_secs() - since_ready);
-        let inherited_late = self.inherited_urgency.and_then(|urgency| urgency.late_ms).map(seconds_until);
+        let until_objectives_s = objectives.map(|within| within.as_secs() - since_ready_s);
+        let until_inherited_late_s = self.inherited_urgency.and_then(|urgency| urgency.late_ms).map(seconds_until);
         let late_factor = settings.late_factors.get(&self.spec.class).copied().unwrap_or(1.0);
-        let late = self.spec.deadline_s.map(|within| within * late_factor - since_accepted);
-        let mut limits = inherited_due.into_iter().chain(deadline).chain(objectives).chain(inherited_late).chain(late);
-        limits.find(|time_left| *time_left > self.run_time())
+        let until_late_s = self.spec.deadline_s.map(|within| within * late_factor - since_accepted_s);
+        let mut until_limits_s = until_inherited_due_s
+            .into_iter()
+            .chain(until_deadline_s)
+            .chain(until_objectives_s)
+            .chain(until_inherited_late_s)
+            .chain(until_late_s);
+        until_limits_s.find(|time_left_s| *time_left_s > self.run_time())
     }
 
     /// Returns the time left in milliseconds as a sort key: zero if the job is starved, `u64::MAX` if it can meet no
@@ -47,7 +52,7 @@
         if self.is_starved(settings, wall_clock_ms) {
             return 0;
         }
-        self.time_left(settings, wall_clock_ms).map_or(u64::MAX, |seconds| (seconds * 1e3) as u64)
+        self.time_left_s(settings, wall_clock_ms).map_or(u64::MAX, |seconds| (seconds * 1e3) as u64)
     }
 
     /// Returns `true` if the job is starved: no task of it runs, and the job became ready longer ago than
--- a/src/coordination/scale_in/deletion.rs
+++ b/src/coordination/scale_in/deletion.rs
@@ -88,12 +88,12 @@
         shard.fleet.booting.remove(machine);
         if shard.machines.contains_key(machine) {
             shard.remove_all_attempts(machine, now);
-            self.forget_machine(id, machine);
+            self.remove_gone_machine(id, machine);
         }
     }
 
     /// Removes a machine that no longer exists from memory. Its record is removed later.
-    pub(super) fn forget_machine(&mut self, id: ShardId, machine: &MachineId) {
+    pub(super) fn remove_gone_machine(&mut self, id: ShardId, machine: &MachineId) {
         let now = self.now;
         let Some(shard) = self.shards.get_mut(&id) else { return };
         let Some(removed) = shard.remove_machine(machine, now) else { return };
--- a/src/coordination/scale_in/listed_machines.rs
+++ b/src/coordination/scale_in/listed_machines.rs
@@ -35,7 +35,7 @@
         for id in &active {
             self.expect_booting_machines(*id);
         }
-        self.return_unknown_machines(&active);
+        self.delete_unknown_machines(&active);
     }
 
     /// Marks for deletion the machines of the shard that the cloud lists as failed, and removes those that the cloud no
@@ -47,21 +47,21 @@
             |machine: &MachineId| list.get(machine).is_some_and(|entry| entry.state == MachineState::Failed);
         let Some(shard) = self.shards.get_mut(&id) else { return };
         let mut vanished = Vec::new();
-        for (id, machine) in &mut shard.machines {
-            let is_listed = list.contains(id);
+        for (machine_id, machine) in &mut shard.machines {
+            let is_listed = list.contains(machine_id);
             machine.listed |= is_listed;
-            machine.deleting |= has_failed(id);
+            machine.deleting |= has_failed(machine_id);
             let is_silent = now.since(machine.seen) > worker_lease + list_lag + list_lag + VANISHED_MARGIN;
             if !is_listed && is_silent && machine.surely_dead(now, worker_lease, &shard.leadership.leader_lease) {
-                vanished.push(id.clone());
+                vanished.push(machine_id.clone());
             }
         }
-        for (id, machine) in &mut shard.fleet.booting {
-            machine.deleting |= has_failed(id);
+        for (machine_id, machine) in &mut shard.fleet.booting {
+            machine.deleting |= has_failed(machine_id);
         }
         for machine in vanished {
             log::info!("machine {machine}: silent and no longer listed by the cloud; removing it from shard {id}");
-            self.forget_machine(id, &machine);
+            self.remove_gone_machine(id, &machine);
         }
     }
 
@@ -76,14 +76,14 @@
         let is_expected = |entry: &&ListedMachine| {
             entry.state == MachineState::Booting
                 && now - entry.age <= rented_until
-                && self.home_shard(&entry.id) == id
+                && self.shard_of_machine(&entry.id) == id
                 && !self.is_known_machine(&entry.id)
         };
         let expected: Vec<ListedMachine> = self.cloud.machine_list().machines().filter(is_expected).cloned().collect();
         let Some(shard) = self.shards.get_mut(&id) else { return };
         for ListedMachine { id: machine, kind, zone, spot, age, .. } in expected {
             log::debug!(
-                "machine {machine} ({kind}, {zone}): rented by a former leader and still booting; adding it to shard {id}"
+                "machine {machine} ({kind}, {zone}): rented by a former leader, still booting; adding it to shard {id}"
             );
             // The machine may have been rented before the monotonic clock of this process began. Its time of rental is
             // then taken as the beginning of the clock, so it gets its whole boot time again.
@@ -94,7 +94,7 @@
 
     /// Returns the shard of a machine: the one in the directory or, if the directory has none, the default shard for
     /// the machine's id.
-    fn home_shard(&self, machine: &MachineId) -> ShardId {
+    fn shard_of_machine(&self, machine: &MachineId) -> ShardId {
         self.directory.machine_shard(machine).unwrap_or_else(|| self.default_shard(machine))
     }
 
@@ -107,7 +107,7 @@
     /// Deletes machines that belong to no shard. They were rented by a request that was executed late, or by a
     /// controller that stopped before it received the answer. Machines that send heartbeats become registered; those
     /// that never boot, and failed ones, are deleted by the leader of the default shard for their id.
-    fn return_unknown_machines(&mut self, active: &[ShardId]) {
+    fn delete_unknown_machines(&mut self, active: &[ShardId]) {
         if self.cloud.is_deleting_unknown() {
             return;
         }
@@ -128,7 +128,7 @@
 
     /// Returns `true` if a machine has failed, or has been booting for so long that it will not come up.
     fn will_not_boot(&self, entry: &ListedMachine) -> bool {
-        let boot = self.cloud.machine_type(&entry.kind).map_or(Span::ZERO, |kind| kind.boot);
+        let boot = self.cloud.machine_type(&entry.kind).map_or(Span::ZERO, |machine_type| machine_type.boot);
         let max_boot = boot.times(STUCK_BOOT_TIMES) + STUCK_MARGIN + self.settings.list_lag;
         match entry.state {
             MachineState::Booting => entry.age > max_boot,
--- a/src/coordination/scale_in/mod.rs
+++ b/src/coordination/scale_in/mod.rs
@@ -23,23 +23,23 @@
 const MAX_DEAD_LEASES: f64 = 1.5;
 
 /// Fraction of the worker lease for which a machine may be silent without being suspected.
-const PATIENCE_LEASE_SHARE: f64 = 0.5;
+const GRACE_LEASE_FRACTION: f64 = 0.5;
 /// Number of heartbeat intervals for which a machine may be silent without being suspected.
-const PATIENCE_INTERVALS: f64 = 3.0;
+const GRACE_INTERVALS: f64 = 3.0;
 /// Margin on the time after which a worker that got no answer has tried the next controller.
-const PATIENCE_MARGIN: Span = Span::millis(500);
-/// Number of heartbeat intervals within which, with [`RECENT_MARGIN`] added, a machine that reaches this node has sent
-/// a heartbeat.
-const RECENT_INTERVALS: f64 = 1.25;
+const GRACE_MARGIN: Span = Span::millis(500);
+/// Number of heartbeat intervals within which, with [`REACHABLE_MARGIN`] added, a machine that reaches this node has
+/// sent a heartbeat.
+const REACHABLE_INTERVALS: f64 = 1.25;
 /// Margin for a heartbeat that is in transit.
-const RECENT_MARGIN: Span = Span::millis(1000);
+const REACHABLE_MARGIN: Span = Span::millis(1000);
 
 /// Limits on the silence of a machine.
 struct SilenceLimits {
     /// Time since the last heartbeat within which a machine counts as reaching this node.
-    recent: Span,
+    reachable_within: Span,
     /// Time since the last heartbeat within which a machine is not suspected: the longest of the grace periods.
-    patience: Span,
+    grace_period: Span,
 }
 
 /// Reachability of this node for the heartbeats of a machine.
@@ -57,11 +57,11 @@
     /// Returns the reachability of this node for the heartbeats of the machine.
     fn reachability(&self, machine: &Machine, now: Time) -> Reachability {
         let silence = now.since(machine.seen);
-        let is_relayed = machine.relayed_at.is_some_and(|at| now.since(at) < self.patience);
-        if machine.reconciled && silence < self.recent && !is_relayed {
+        let is_relayed = machine.relayed_at.is_some_and(|at| now.since(at) < self.grace_period);
+        if machine.reconciled && silence < self.reachable_within && !is_relayed {
             return Reachability::Reachable;
         }
-        if machine.deleting || machine.reconciled && silence < self.patience {
+        if machine.deleting || machine.reconciled && silence < self.grace_period {
             return Reachability::Undecided;
         }
         let delays_tasks = if machine.reconciled {
@@ -74,22 +74,22 @@
 }
 
 impl Controller {
-    /// Deletes machines that do not answer while tasks wait to learn what may be running on them.
+    /// Marks for deletion the machines that do not answer while tasks wait to learn what may be running on them.
     ///
     /// A silent machine loses its tasks anyway when its worker lease expires, but that may take long, especially after
     /// a failover. Once the cloud has deleted the machine, its tasks may be started elsewhere at once. No machine is
-    /// deleted if more machines are silent than reach this node directly, without a relay: the fault is then probably
-    /// on the side of this node.
-    pub(super) fn release_silent_machines(&mut self, id: ShardId) {
+    /// marked if more machines are silent than reach this node directly, without a relay: the fault is then probably on
+    /// the side of this node.
+    pub(super) fn mark_silent_machines_for_deletion(&mut self, id: ShardId) {
         let now = self.now;
         let Some(limits) = self.silence_limits(id) else { return };
         let Some(shard) = self.shards.get_mut(&id) else { return };
         let mut reachable_count = 0;
         let mut silent: Vec<&MachineId> = Vec::new();
-        for (id, machine) in &shard.machines {
+        for (machine_id, machine) in &shard.machines {
             match limits.reachability(machine, now) {
                 Reachability::Reachable => reachable_count += 1,
-                Reachability::Silent => silent.push(id),
+                Reachability::Silent => silent.push(machine_id),
                 Reachability::Undecided => {}
             }
         }
@@ -97,10 +97,12 @@
             return;
         }
         let silent: Vec<MachineId> = silent.into_iter().cloned().collect();
-        for id in silent {
-            if let Some(machine) = shard.machines.get_mut(&id) {
+        for machine_id in silent {
+            if let Some(machine) = shard.machines.get_mut(&machine_id) {
                 let silence_s = now.since(machine.seen).as_secs();
-                log::warn!("machine {id}: silent for {silence_s:.1} s while tasks may be running on it; deleting it");
+                log::warn!(
+                    "machine {machine_id}: silent for {silence_s:.1} s while tasks may be running on it; deleting it"
+                );
                 machine.deleting = true;
             }
         }
@@ -111,38 +113,39 @@
         let (worker_lease, interval) = (self.settings.worker_lease, self.settings.heartbeat_interval);
         // A worker whose answers are lost waits for each answer until its timeout and only then tries the next
         // controller, although its machine is up.
-        let patience = worker_lease
-            .times(PATIENCE_LEASE_SHARE)
-            .max(interval.times(PATIENCE_INTERVALS))
-            .max(ANSWER_TIMEOUT + NEXT_CONTROLLER_DELAY + PATIENCE_MARGIN);
+        let grace_period = worker_lease
+            .times(GRACE_LEASE_FRACTION)
+            .max(interval.times(GRACE_INTERVALS))
+            .max(ANSWER_TIMEOUT + NEXT_CONTROLLER_DELAY + GRACE_MARGIN);
         // An older heartbeat does not show that the machine reaches this node now: when a network partition begins, all
         // machines fall silent one after another. After a failover, workers take longer to find this node.
         let shard = self.shards.get(&id)?;
         let workers_have_found_node = self.now.since(shard.recovery.acquired_at()) >= worker_lease;
-        let recent = if workers_have_found_node { interval.times(RECENT_INTERVALS) + RECENT_MARGIN } else { patience };
-        Some(SilenceLimits { recent, patience })
+        let reachable_within =
+            if workers_have_found_node { interval.times(REACHABLE_INTERVALS) + REACHABLE_MARGIN } else { grace_period };
+        Some(SilenceLimits { reachable_within, grace_period })
     }
 
     /// Marks for deletion the machines of the shard that are no longer needed or no longer of use. Runs after the fleet
     /// was planned.
     pub(super) fn scale_in(&mut self, id: ShardId) {
-        let limits = ReturnLimits {
+        let limits = DeletionLimits {
             now: self.now,
             worker_lease: self.settings.worker_lease,
             idle_timeout: self.settings.properties.idle_machine_timeout,
         };
         let Some(shard) = self.shards.get_mut(&id) else { return };
         let Shard { machines, fleet, leadership, .. } = shard;
-        for (id, machine) in machines {
+        for (machine_id, machine) in machines {
             if machine.listed && !machine.deleting && machine.moving_to.is_none() {
-                machine.deleting = limits.should_return(id, machine, &fleet.spare, &leadership.leader_lease);
+                machine.deleting = limits.should_delete(machine_id, machine, &fleet.spare, &leadership.leader_lease);
             }
         }
     }
 }
 
 /// Conditions under which machines are deleted.
-struct ReturnLimits {
+struct DeletionLimits {
     /// Current time.
     now: Time,
     /// Length of a worker lease.
@@ -151,20 +154,20 @@
     idle_timeout: Span,
 }
 
-impl ReturnLimits {
-    /// Returns `true` if a machine is to be deleted. `unneeded` holds the machines to which the last plan assigned no
+impl DeletionLimits {
+    /// Returns `true` if a machine is to be deleted. `spare` holds the machines to which the last plan assigned no
     /// work.
-    fn should_return(
+    fn should_delete(
         &self,
         id: &MachineId,
         machine: &Machine,
-        unneeded: &HashSet<MachineId>,
+        spare: &HashSet<MachineId>,
         leader_lease: &LeaderLease,
     ) -> bool {
         let is_idle = machine.is_empty() && machine.reconciled;
-        let is_unneeded = unneeded.contains(id) && self.now.since(machine.idle_since) >= self.idle_timeout;
+        let is_idle_too_long = spare.contains(id) && self.now.since(machine.idle_since) >= self.idle_timeout;
         let is_quarantined = self.now < machine.quarantined_until;
-        is_idle && (is_unneeded || is_quarantined)
+        is_idle && (is_idle_too_long || is_quarantined)
             || self.loses_answers_too_long(machine)
             || self.is_dead(machine, leader_lease)
     }
--- a/src/coordination/scale_out/demand.rs
+++ b/src/coordination/scale_out/demand.rs
@@ -6,7 +6,7 @@
 use std::collections::HashMap;
 
 /// Fraction of the time left that planning relies on, since estimated run times are often wrong.
-const USABLE_TIME_SHARE: f64 = 0.85;
+const USABLE_TIME_FRACTION: f64 = 0.85;
 /// Number of tasks that one slot runs one after another if the job can meet no limit.
 const DEFAULT_TASKS_PER_SLOT: u32 = 2;
 /// Maximum number of tasks that one slot runs one after another.
@@ -125,14 +125,14 @@
     /// Returns the number of tasks that one slot can run one after another before the job should be done. If the class
     /// has an objective for starting, the last of them also has to start within that objective.
     fn tasks_per_slot(&self, job: &Job) -> TasksPerSlot {
-        let boot_s = self.cloud.catalog().map(|kind| kind.boot.as_secs()).fold(f64::MAX, f64::min);
+        let boot_s = self.cloud.catalog().map(|machine_type| machine_type.boot.as_secs()).fold(f64::MAX, f64::min);
         let fetch_s = self.cloud.least_fetch(job.spec.image_gb);
         let waited_s = self.wall_clock_ms.saturating_sub(job.ready_ms) as f64 / 1000.0;
-        let time_to_end_s = job.time_left(&self.settings, self.wall_clock_ms).map(|left| left * USABLE_TIME_SHARE);
+        let time_to_end_s = job.time_left_s(&self.settings, self.wall_clock_ms).map(|left| left * USABLE_TIME_FRACTION);
         let start_objective = self.settings.start_within.get(&job.spec.class);
-        let time_to_start_s = start_objective.map(|within| (within.as_secs() - waited_s) * USABLE_TIME_SHARE);
+        let time_to_start_s = start_objective.map(|within| (within.as_secs() - waited_s) * USABLE_TIME_FRACTION);
         let tasks_within = |usable_s: f64| (usable_s / job.run_time()).floor().clamp(1.0, MAX_TASKS_PER_SLOT) as u32;
-        let target = |boot_s: f64| {
+        let tasks_after_boot = |boot_s: f64| {
             let usable_s = |time_s: f64| time_s - fetch_s - boot_s;
             let by_end = time_to_end_s.map_or(DEFAULT_TASKS_PER_SLOT, |time_s| tasks_within(usable_s(time_s)));
             let by_start = time_to_start_s.map_or(u32::MAX, |time_s| {
@@ -142,7 +142,7 @@
             });
             by_end.min(by_start)
         };
-        TasksPerSlot { on_running_machine: target(0.0), on_new_machine: target(boot_s) }
+        TasksPerSlot { on_running_machine: tasks_after_boot(0.0), on_new_machine: tasks_after_boot(boot_s) }
     }
 
     /// Returns `true` if a job waits for idle or spot machines instead of having on-demand machines rented. Only job
--- a/src/coordination/scale_out/mod.rs
+++ b/src/coordination/scale_out/mod.rs
@@ -33,7 +33,7 @@
         self.refresh_cloud_state();
         let ids: Vec<ShardId> = self.decidable_shards();
         for id in &ids {
-            self.release_silent_machines(*id);
+            self.mark_silent_machines_for_deletion(*id);
             self.delete_machines(*id);
             self.retry_transfers(*id);
             self.send_rentals(*id);
@@ -68,9 +68,9 @@
         let mut bins = self.packing_bins(shard);
         let unmet = unmet_demands(demands, &mut bins, self.cloud.types());
         let rentals = self.plan_rentals(id, unmet, &mut bins);
-        let unused = bins.into_iter().filter(|bin| !bin.used).filter_map(|bin| bin.id).collect();
+        let spare = bins.into_iter().filter(|bin| !bin.used).filter_map(|bin| bin.id).collect();
         let Some(shard) = self.shards.get_mut(&id) else { return };
-        shard.fleet.spare = unused;
+        shard.fleet.spare = spare;
         for rental in rentals {
             self.add_rental(id, rental);
         }
@@ -86,7 +86,7 @@
             // available sooner than machines that have to boot, so they are requested first.
             let count = pack(bins, &demand, self.cloud.types());
             let demand = Demand { count, ..demand };
-            let count = self.take_offers(id, &demand, bins);
+            let count = self.request_offers(id, &demand, bins);
             if count > 0 {
                 self.plan_rental(Demand { count, ..demand }, wanted_slots, bins, &mut rentals);
             }
@@ -97,10 +97,11 @@
     /// Chooses the class and number of machines to rent for one demand, and packs the demand into them.
     fn plan_rental(&self, demand: Demand, wanted_slots: u32, bins: &mut Vec<PackingBin>, rentals: &mut Vec<Rental>) {
         let Some(class) = self.cheapest_class(&demand, wanted_slots, bins) else { return };
-        let Some(kind) = self.cloud.machine_type(&class.kind) else { return };
-        let tasks_per_machine = kind.room.slots(&demand.spec.needs).max(1) * demand.tasks_per_slot.on_new_machine;
+        let Some(machine_type) = self.cloud.machine_type(&class.kind) else { return };
+        let tasks_per_machine =
+            machine_type.room.slots(&demand.spec.needs).max(1) * demand.tasks_per_slot.on_new_machine;
         let count = demand.count.div_ceil(tasks_per_machine);
-        bins.extend((0..count).map(|_| PackingBin::expected(class.clone(), kind.room)));
+        bins.extend((0..count).map(|_| PackingBin::expected(class.clone(), machine_type.room)));
         pack(bins, &demand, self.cloud.types());
         match rentals.iter_mut().find(|rental| rental.is_of(&class)) {
             Some(rental) => rental.count += count,
--- a/src/coordination/scale_out/packing.rs
+++ b/src/coordination/scale_out/packing.rs
@@ -81,11 +81,11 @@
         let machines = shard.machines.iter().filter(|(_, machine)| is_capacity(machine, now, worker_lease));
         machines
             .filter_map(|(id, machine)| {
-                let kind = self.cloud.machine_type(&machine.kind)?;
+                let machine_type = self.cloud.machine_type(&machine.kind)?;
                 Some(PackingBin {
                     id: Some(id.clone()),
                     class: MachineClass { kind: machine.kind.clone(), zone: machine.zone.clone(), spot: machine.spot },
-                    room: kind.room.minus(&shard.service_usage(machine)),
+                    room: machine_type.room.minus(&shard.service_usage(machine)),
                     used: shard.service_attempts(machine).next().is_some(),
                 })
             })
@@ -102,8 +102,8 @@
         let rentals = shard.fleet.rentals.values().map(|rental| (rental.class(), rental.count));
         let mut bins = Vec::new();
         for (class, count) in booting.chain(requested).chain(rentals) {
-            let Some(kind) = self.cloud.machine_type(&class.kind) else { continue };
-            bins.extend((0..count).map(|_| PackingBin::expected(class.clone(), kind.room)));
+            let Some(machine_type) = self.cloud.machine_type(&class.kind) else { continue };
+            bins.extend((0..count).map(|_| PackingBin::expected(class.clone(), machine_type.room)));
         }
         bins
     }
--- a/src/coordination/scale_out/rental_choice.rs
+++ b/src/coordination/scale_out/rental_choice.rs
@@ -42,12 +42,12 @@
         bins: &[PackingBin],
     ) -> Option<MachineClass> {
         let mut best: Option<RentalOption> = None;
-        for kind in self.cloud.catalog() {
-            if !demand.spec.allows_type(&kind.name) || !demand.spec.needs.fits_in(&kind.room) {
+        for machine_type in self.cloud.catalog() {
+            if !demand.spec.allows_type(&machine_type.name) || !demand.spec.needs.fits_in(&machine_type.room) {
                 continue;
             }
-            for spot in [false, true].into_iter().filter(|spot| allows_price(demand, *spot)) {
-                for option in self.rental_options(&demand.spec, wanted_slots, bins, kind, spot) {
+            for spot in [false, true].into_iter().filter(|spot| may_rent(demand, *spot)) {
+                for option in self.rental_options(&demand.spec, wanted_slots, bins, machine_type, spot) {
                     if best.as_ref().is_none_or(|best| option.is_better_than(best)) {
                         best = Some(option);
                     }
@@ -64,16 +64,16 @@
         spec: &JobSpec,
         wanted_slots: u32,
         bins: &[PackingBin],
-        kind: &MachineType,
+        machine_type: &MachineType,
         spot: bool,
     ) -> Vec<RentalOption> {
-        let cost = rental_cost(spec, wanted_slots, kind, spot);
-        let zones = kind.zones.iter().filter(|zone| spec.allows_zone(zone));
-        let classes = zones.map(|zone| MachineClass { kind: kind.name.clone(), zone: zone.clone(), spot });
+        let cost = rental_cost(spec, wanted_slots, machine_type, spot);
+        let zones = machine_type.zones.iter().filter(|zone| spec.allows_zone(zone));
+        let classes = zones.map(|zone| MachineClass { kind: machine_type.name.clone(), zone: zone.clone(), spot });
         classes
             .filter(|class| !self.cloud.is_refused(class, self.now))
             .map(|class| RentalOption {
-                boots_late: self.cloud.boot_statistics().is_bad(&class.kind, &class.zone, self.now),
+                boots_late: self.cloud.boot_statistics().is_unreliable(&class.kind, &class.zone, self.now),
                 cost,
                 machines_in_zone: bins.iter().filter(|bin| bin.class.zone == class.zone).count(),
                 class,
@@ -83,13 +83,13 @@
 }
 
 /// Returns `true` if spot or, for `spot == false`, on-demand machines may be rented for a demand.
-fn allows_price(demand: &Demand, spot: bool) -> bool {
+fn may_rent(demand: &Demand, spot: bool) -> bool {
     if spot { demand.spec.spot } else { !(demand.spec.spot && demand.waits_for_spot) }
 }
 
 /// Returns the cost of machines of the type that have the wanted number of slots together.
-fn rental_cost(spec: &JobSpec, wanted_slots: u32, kind: &MachineType, spot: bool) -> f64 {
-    let slots = kind.room.slots(&spec.needs).max(1);
+fn rental_cost(spec: &JobSpec, wanted_slots: u32, machine_type: &MachineType, spot: bool) -> f64 {
+    let slots = machine_type.room.slots(&spec.needs).max(1);
     let machines = wanted_slots.div_ceil(slots);
     // A machine can be deleted only after the last task of its services has ended, and that takes longer the more of
     // them there are: of n tasks that end at random, the last one runs on average for the n-th harmonic number times as
@@ -98,6 +98,6 @@
         JobKind::Service => (1..=slots.min(wanted_slots)).map(|n| 1.0 / f64::from(n)).sum(),
         JobKind::Array => 1.0,
     };
-    let price = if spot { kind.spot_price } else { kind.price };
+    let price = if spot { machine_type.spot_price } else { machine_type.price };
     price * f64::from(machines) * time_factor
 }
