--- a/src/coordination/placement/queue_order.rs
+++ b/src/coordination/placement/queue_order.rs
@@ -15,7 +15,7 @@
     /// `true` if one more task would take the team beyond its guarantee.
     exceeds_guarantee: bool,
     /// Time left until the first limit that the job can still meet, in milliseconds. Zero if the job is starved;
-    /// `u64::MAX`, and so behind all others, if it can meet no limit.
+    /// `u64::MAX`, and so after all jobs that can meet a limit, if it can meet none.
     time_left_ms: u64,
     /// CPUs that the team uses, for a job that can meet no limit and would exceed its team's guarantee; otherwise zero.
     /// Among such jobs the team that uses least goes first.
@@ -69,8 +69,8 @@
         jobs
     }
 
-    /// Puts the jobs with a task to start in order and reserves quota for starved jobs. Jobs that their team's quota
-    /// does not allow to start a task are left out.
+    /// Sorts the jobs with a task to start and reserves quota for starved jobs. Jobs that their team's quota does not
+    /// allow to start a task are left out.
     fn order_jobs(&self, context: &PlacementContext) -> JobQueue {
         let mut team_usage: HashMap<&Name, Resources> = HashMap::new();
         let mut candidates: Vec<QueueCandidate> = self
