--- a/src/coordination/user_requests/acceptance.rs
+++ b/src/coordination/user_requests/acceptance.rs
@@ -1,4 +1,4 @@
-//! Writing the first record of a job, and what follows from the answer.
+//! Acceptance of a job: committing its first record and handling the answer.
 
 use super::super::controller::Controller;
 use super::super::events::Requester;
@@ -16,7 +16,7 @@
 use crate::storage::records::to_value;
 
 impl Controller {
-    /// Accepts a job that is new here and all of whose prerequisites were accepted.
+    /// Accepts a job that is not known to this node and whose prerequisites were all accepted.
     pub(in crate::coordination) fn accept(&mut self, submission: Submission) {
         match submission.path {
             AcceptancePath::Leader => self.accept_as_leader(submission),
@@ -31,14 +31,15 @@
             return self.reply(submission.requester, Reply::busy(BusyReason::ShardNotReady));
         };
         if shard.has(&submission.spec.id) {
-            // The job was submitted twice, and the other submission was accepted meanwhile.
+            // The job was submitted twice, and the other submission was accepted in the meantime.
             return self.poll_here(submission.requester, submission.shard, submission.spec.id);
         }
         let term = shard.term;
         self.write_acceptance(submission, term);
     }
 
-    /// Accepts a job of a shard whose leader cannot be asked, on the condition that its leadership does not change.
+    /// Accepts a job of a shard whose leader cannot be reached. The commit is conditional on the shard's leadership
+    /// being unchanged.
     fn accept_with_handoff(&mut self, submission: Submission) {
         let Some(leadership) = self.membership.leadership(submission.shard).filter(|_| self.leadership.has_lease())
         else {
@@ -48,8 +49,8 @@
         self.write_acceptance(submission, term);
     }
 
-    /// Begins to write the records of a job. If they are being written already, the requester waits for the same
-    /// answer.
+    /// Begins to write the records of a job. If a write of the same job is in progress, the requester waits for its
+    /// outcome instead.
     fn write_acceptance(&mut self, submission: Submission, term: Revision) {
         let Submission { requester, shard, spec, path } = submission;
         if self.users.is_accepting(&spec.id) {
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Commits a new job's record. Those of its prerequisites that have no room there are recorded by now.
+    /// Commits a new job's live record, after all its part records were written.
     pub(in crate::coordination) fn commit_acceptance(&mut self, new_job: NewJob) {
         let (shard, id) = (new_job.shard, new_job.id());
         let key = keys::live_key(id);
@@ -85,7 +86,7 @@
         self.call_state(StateCall::Commit { conditions, changes }, UserOperation::Accept(Box::new(new_job)));
     }
 
-    /// Handles the answer to the write of a new job's record, or of a part of it that could not be written.
+    /// Handles the answer to the commit of a new job's live record, or to a write of its part records that failed.
     pub(in crate::coordination) fn accept_answered(&mut self, new_job: NewJob, answer: StateResult) {
         let requesters = self.users.take_accepting(new_job.id());
         match answer {
@@ -98,16 +99,16 @@
                     self.look_up_job(requester, new_job.id().clone(), LookupPurpose::AlreadyRecorded);
                 }
             }
-            // The job may be recorded or not. The user's retry finds out.
+            // The commit is in doubt. A retry by the user finds the record if it was written.
             _ => self.reply_to_all(requesters, Reply::busy(BusyReason::StateUnreachable)),
         }
     }
 
-    /// The job is accepted, durably.
+    /// Handles the durable acceptance of a job: adopts it if this node leads its shard, and answers the requesters.
     fn acceptance_committed(&mut self, new_job: NewJob, version: Revision, requesters: Vec<Requester>) {
         let (shard_id, id) = (new_job.shard, new_job.id().clone());
         let waits = new_job.record.is_waiting();
-        // The job may have been found in the records before this answer came, and have ended.
+        // The job may have been read from the records before this answer arrived, and may have ended since.
         let has_ended = self.directory.has_ended(&id);
         self.adopt_accepted(new_job, version, has_ended);
         let mut requesters = requesters.into_iter();
@@ -115,17 +116,17 @@
             && !has_ended
             && let Some(first) = requesters.next()
         {
-            // The job is durable, whichever controller leads the shard by now.
+            // The record is durable, whichever controller leads the shard now.
             self.reply(first, Reply { status: 201, ..state_reply(&id, JobState::Queued, 0, 0) });
         }
-        // The others asked later and may know more by now: they may have heard that the job has ended. And one of its
-        // prerequisites may have been cancelled: then the job is withdrawn from the start.
+        // The other requesters asked later and may have been told since that the job has ended, so a reply of
+        // 201 could contradict that. If a prerequisite was cancelled, the job is withdrawn from the start.
         for requester in requesters {
             self.poll_accepted(requester, shard_id, &id);
         }
     }
 
-    /// Adds the accepted job to its shard if this node still leads it in the same term.
+    /// Adds the accepted job to its shard if this node still leads the shard in the same term.
     fn adopt_accepted(&mut self, new_job: NewJob, version: Revision, has_ended: bool) {
         let now = self.now;
         if let Some(shard) = self.shard_in_term(new_job.leadership_term())
@@ -136,7 +137,7 @@
         }
     }
 
-    /// Answers a user who submitted a job that is accepted by now.
+    /// Answers a requester whose submitted job has been accepted with the job's current state.
     fn poll_accepted(&mut self, requester: Requester, shard_id: ShardId, id: &JobId) {
         if self.shards.get(&shard_id).is_some_and(|shard| shard.has(id)) {
             self.poll_here(requester, shard_id, id.clone());
@@ -145,7 +146,7 @@
         }
     }
 
-    /// The commit was refused because leadership of the shard has changed.
+    /// Handles a commit that was refused because the leadership of the shard has changed.
     fn acceptance_lost_term(&mut self, new_job: &NewJob, requesters: Vec<Requester>) {
         if self.shard_in_term(new_job.leadership_term()).is_some() {
             self.step_down(new_job.shard, StepDownReason::TermReplaced);
--- a/src/coordination/user_requests/adoption.rs
+++ b/src/coordination/user_requests/adoption.rs
@@ -1,48 +1,50 @@
-//! Adding a job to the memory of its shard as a record describes it that was read after the shard was loaded.
+//! Adoption of jobs: loading a job into the memory of its shard from a live record that was read after the shard itself
+//! was loaded.
 
 use super::super::controller::Controller;
 use super::super::job_record_reads::VersionedRecord;
 use crate::model::ShardId;
 use crate::time::{Span, Time};
 
-/// How long after a read was sent its answer may still be adopted, at the most. It is far shorter than the newest
-/// final records are kept in memory.
+/// Maximum age of a read, counted from sending, at which its answer may still be adopted. Much shorter than the time
+/// for which the newest final records stay in memory, so that a job that has ended since is recognised.
 const MAX_RECORD_AGE: Span = Span::millis(10_000);
 
-/// How the record of a job that is to be adopted was found.
+/// The way in which the record of a job to adopt was found.
 pub(super) enum AdoptionSource {
-    /// A user asked about the job.
+    /// A lookup for a user request.
     Lookup,
-    /// Another controller left a hand-off record.
+    /// A hand-off record of another controller.
     Handoff,
 }
 
 impl AdoptionSource {
-    /// How a log line says it.
+    /// Returns the description of the source for the log.
     fn log_text(&self) -> &'static str {
         match self {
-            AdoptionSource::Lookup => "found in the records",
-            AdoptionSource::Handoff => "was accepted by another controller",
+            AdoptionSource::Lookup => "found in the state service by a lookup for a user request",
+            AdoptionSource::Handoff => "accepted by another controller and handed off to this node",
         }
     }
 }
 
-/// What came of adopting a job.
+/// The outcome of an attempt to adopt a job.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum Adoption {
     /// The job is in memory, or it is known to have ended.
     Settled,
-    /// The record does not show how the job stands now and has to be read again.
+    /// The record may be stale and has to be read again.
     Retry,
 }
 
 impl Controller {
-    /// Adopts a job that is not in memory here, as its record was when a read sent at `sent` was answered.
+    /// Adopts a job from the live record that was returned by a read sent at `sent`.
     ///
-    /// The record was written in this leadership term, or it would have been loaded, so none of the job's tasks has
-    /// been started. But the record may be outdated: an answer may take long, and may have to wait for a leadership
-    /// check. Meanwhile the job may have become known in another way and have ended, or it may have ended before the
-    /// term began. Adopted once more, its tasks would be started after its user was told that the job has ended.
+    /// The record was written in this leadership term, as it would otherwise have been loaded with the shard, so none
+    /// of the job's tasks has been started. However, the record may be stale: an answer may take long, and may have to
+    /// wait for a leadership check. In the meantime the job may have become known in another way and have ended, or it
+    /// may have ended before the term began. If a stale record were adopted, tasks would be started after the user was
+    /// told that the job has ended.
     pub(super) fn adopt_from_record(
         &mut self,
         shard_id: ShardId,
@@ -61,7 +63,7 @@
         if !sent_after_loading || now.since(sent) >= MAX_RECORD_AGE {
             return Adoption::Retry;
         }
-        log::info!("job {} {}", record.job.id, source.log_text());
+        log::info!("job {} adopted by shard {shard_id}: {}", record.job.id, source.log_text());
         shard.adopt(record, version, now);
         Adoption::Settled
     }
--- a/src/coordination/user_requests/cancellation.rs
+++ b/src/coordination/user_requests/cancellation.rs
@@ -1,4 +1,4 @@
-//! Cancelling a job.
+//! Cancellation of jobs by users.
 
 use super::super::controller::Controller;
 use super::super::events::Requester;
@@ -8,7 +8,7 @@
 use crate::protocol::{BusyReason, Reply};
 
 impl Controller {
-    /// Cancels a job for a user.
+    /// Handles a request to cancel a job that a client sent to this node.
     pub(in crate::coordination) fn cancel(&mut self, requester: Requester, job: JobId) {
         if let Some(reply) = self.known_final_reply(&job) {
             return self.reply(requester, reply);
@@ -39,8 +39,8 @@
         self.record_cancellation(requester, shard_id, id);
     }
 
-    /// Stops the tasks of a job that its user does not want any more. Their results are of no use, so this needs no
-    /// valid leader lease.
+    /// Stops the tasks of a job that its user cancels. No valid leader lease is needed, since the results are no longer
+    /// wanted.
     fn stop_cancelled_tasks(&mut self, shard_id: ShardId, id: &JobId) {
         let Some(shard) = self.shards.get_mut(&shard_id) else { return };
         if let Some(job) = shard.jobs.get_mut(id)
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Writes the final record of a job that its user cancels. The reply follows once that is durable.
+    /// Writes the final record of a job that its user cancels. The reply is sent once the record is durable.
     fn record_cancellation(&mut self, requester: Requester, shard_id: ShardId, id: JobId) {
         let now = self.now;
         let Some(shard) = self.shards.get_mut(&shard_id) else {
--- a/src/coordination/user_requests/feasibility.rs
+++ b/src/coordination/user_requests/feasibility.rs
@@ -1,21 +1,21 @@
-//! Whether a job can ever run, whatever else runs at the time.
+//! Feasibility check: rejects jobs that could never run, even on an otherwise empty cluster.
 
 use super::super::controller::Controller;
 use crate::model::{JobKind, JobSpec, MachineType, Quantity};
 
-/// Why a job can never run.
+/// The reason why a job can never run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Infeasible {
-    /// The configuration names no such team.
+    /// The job's team is not configured.
     UnknownTeam,
-    /// None of the machine types that the job allows has room for one of its tasks.
+    /// No machine type that the job allows has room for one of its tasks.
     NoMachineType,
-    /// The job needs more than its team's quota.
+    /// The tasks that have to run at the same time need more than the team's quota.
     OverQuota,
 }
 
 impl Infeasible {
-    /// The reason as users are told.
+    /// Returns the text of the reason in replies to users.
     pub fn reason(self) -> &'static str {
         match self {
             Infeasible::UnknownTeam => "unknown team",
@@ -26,7 +26,7 @@
 }
 
 impl Controller {
-    /// Checks that a job can run at some time.
+    /// Returns an error if a job can never run.
     pub(super) fn check_feasibility(&self, spec: &JobSpec) -> Result<(), Infeasible> {
         let Some(quota) = self.settings.teams.get(&spec.team) else { return Err(Infeasible::UnknownTeam) };
         if !self.cloud.catalog().any(|machine_type| fits_type(spec, machine_type)) {
@@ -42,7 +42,7 @@
     }
 }
 
-/// Whether the job allows the machine type and one of its tasks has room on such a machine.
+/// Returns `true` if the job allows the machine type and one of its tasks fits on a machine of that type.
 fn fits_type(spec: &JobSpec, machine_type: &MachineType) -> bool {
     spec.allows_type(&machine_type.name)
         && spec.needs.fits_in(&machine_type.room)
--- a/src/coordination/user_requests/handoff.rs
+++ b/src/coordination/user_requests/handoff.rs
@@ -1,4 +1,4 @@
-//! Jobs that another controller accepted for a shard that this node leads.
+//! Hand-off of jobs: adopting jobs that another controller accepted for a shard led by this node.
 
 use super::super::controller::Controller;
 use super::super::job_record_reads::{JobRecordAnswer, JobRecordKind};
@@ -13,7 +13,7 @@
 use crate::time::Time;
 
 impl Controller {
-    /// Begins to adopt the job of a hand-off record if this node leads its shard. `key` may be that of any record.
+    /// Begins to adopt the job of a hand-off record if this node leads its shard. Keys of other records are ignored.
     pub(in crate::coordination) fn handoff_seen(&mut self, key: &str, version: Revision) {
         let Some((shard_id, job)) = keys::parse_handoff(key) else { return };
         let Some(shard) = self.shards.get(&shard_id).filter(|shard| shard.is_active()) else { return };
@@ -31,7 +31,7 @@
         self.call_state(JobRecordKind::Live.request(&job), operation);
     }
 
-    /// Handles the answer to the read of a handed-off job's record that was sent at `sent`.
+    /// Handles the answer to the read of a handed-off job's live record that was sent at `sent`.
     pub(super) fn handoff_read(
         &mut self,
         leadership: LeadershipTerm,
@@ -48,29 +48,29 @@
                 self.admit_next_step(TrafficClass::Adoption);
                 self.remove_handoff(leadership, handoff);
             }
-            // The hand-off record stays and is seen again.
+            // The hand-off record remains and is processed when it is next seen.
             Adoption::Retry => self.users.finish_handoff(&handoff.key),
         }
     }
 
-    /// Adopts the job if its record was read and it belongs to the shard.
+    /// Adopts the job if its live record was read and belongs to the shard.
     fn adopt_handed_off(&mut self, shard_id: ShardId, sent: Time, answer: StateResult) -> Adoption {
         match JobRecordKind::Live.interpret(answer) {
             JobRecordAnswer::Live(found) if found.record.decided_in() == shard_id => {
                 self.adopt_from_record(shard_id, *found, sent, AdoptionSource::Handoff)
             }
             JobRecordAnswer::Unanswered => Adoption::Retry,
-            // The job has ended, or there is nothing that this shard could adopt.
+            // The job has ended, belongs to another shard, or has no readable record: there is nothing to adopt.
             _ => Adoption::Settled,
         }
     }
 
-    /// Removes a hand-off record that is not needed any more.
+    /// Removes a hand-off record that is no longer needed.
     fn remove_handoff(&mut self, leadership: LeadershipTerm, handoff: HandoffRecord) {
         let HandoffRecord { key, version } = handoff;
         let conditions = vec![leadership.condition(), Condition::version(key.clone(), version)];
         let request = StateCall::Commit { conditions, changes: vec![Change::Delete(key.clone())] };
-        // The answer does not matter: a hand-off record that is still there is seen again.
+        // A failure needs no handling: a hand-off record that still exists is processed when it is next seen.
         self.call_state(request, UserOperation::RemoveHandoff { handoff: key });
     }
 }
--- a/src/coordination/user_requests/lookup.rs
+++ b/src/coordination/user_requests/lookup.rs
@@ -1,4 +1,4 @@
-//! Reading the records of a job that is not in memory here.
+//! Lookup of jobs that are not in memory on this node, by reading their records.
 
 use super::super::controller::Controller;
 use super::super::events::Requester;
@@ -16,7 +16,7 @@
 use crate::storage::records::{EndRecord, LiveRecord};
 
 impl Controller {
-    /// Answers a request from the job's records.
+    /// Begins to answer a request from the job's records, or replies "busy" if the rate limits admit no read.
     pub(in crate::coordination) fn look_up_job(&mut self, requester: Requester, job: JobId, purpose: LookupPurpose) {
         if !self.admits(TrafficClass::RecordRead) {
             return self.reply(requester, Reply::busy(BusyReason::TooManyReads));
@@ -24,13 +24,13 @@
         self.read_record(JobLookup { requester, job, purpose, reading: JobRecordKind::Live, sent: self.now });
     }
 
-    /// Reads one of the job's records.
+    /// Sends the read of the record that is next in the lookup.
     fn read_record(&mut self, lookup: JobLookup) {
         let request = lookup.reading.request(&lookup.job);
         self.call_state(request, UserOperation::LookUp(Box::new(lookup)));
     }
 
-    /// Handles the answer to a read of one of the job's records.
+    /// Handles the answer to the read of one of the job's records.
     pub(super) fn job_looked_up(&mut self, lookup: JobLookup, answer: StateResult) {
         match lookup.reading.interpret(answer) {
             JobRecordAnswer::Live(found) => self.live_record_found(lookup, *found),
@@ -70,7 +70,7 @@
         let (id, shard_id) = (found.record.job.id.clone(), found.record.decided_in());
         self.directory.set_job_shard(lookup.job.clone(), shard_id);
         if let Some(end) = self.directory.end_of(&id) {
-            // The job has ended since the record was read.
+            // The job has ended after the record was read.
             let reply = final_reply(&id, end);
             return self.reply(lookup.requester, reply);
         }
@@ -83,8 +83,8 @@
         self.answer_from_live_record(lookup, shard_id, &found.record);
     }
 
-    /// Answers a request about a job of a shard that this node leads but whose memory lacked the job: the answer to
-    /// the write of its acceptance was lost.
+    /// Answers a request about a job that belongs to a shard led by this node but is not in the shard's memory, because
+    /// the answer to the commit of its acceptance was lost.
     fn adopt_and_answer(&mut self, lookup: JobLookup, shard_id: ShardId, found: VersionedRecord) {
         let JobLookup { requester, purpose, sent, .. } = lookup;
         let id = found.record.job.id.clone();
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Answers a request about a live job of a shard that this node may not decide about.
+    /// Answers a request about a live job of a shard that this node does not lead or may not decide for.
     fn answer_from_live_record(&mut self, lookup: JobLookup, shard_id: ShardId, record: &LiveRecord) {
         let id = record.job.id.clone();
         match lookup.purpose {
@@ -110,7 +110,7 @@
     }
 }
 
-/// The reply that tells as much of a live job as its record does.
+/// Returns the reply to a poll of a live job with the progress shown by its record.
 fn recorded_progress(record: &LiveRecord) -> Reply {
     let done = RangeSet::parse(&record.done, record.job.tasks).map_or(0, |done| done.len());
     let state = if done > 0 { JobState::Running } else { JobState::Queued };
--- a/src/coordination/user_requests/mod.rs
+++ b/src/coordination/user_requests/mod.rs
@@ -1,19 +1,19 @@
-//! Requests of users: submitting, polling and cancelling jobs, and asking for forecasts.
+//! User requests: submitting, polling and cancelling jobs, and asking for forecasts.
 //!
-//! A request is answered from memory where this node leads the job's shard, else by the shard's leader, else from the
-//! records in the state service.
+//! A request is answered from memory if this node leads the job's shard, otherwise by the shard's leader, and otherwise
+//! from the records in the state service.
 //!
-//! - [`operations`]: the calls to the state service that these requests lead to;
-//! - [`views`]: replies that report how a job stands;
+//! - [`operations`]: calls to the state service on behalf of users;
+//! - [`views`]: replies that report the state of a job;
 //! - [`lookup`]: reading the records of a job that is not in memory;
-//! - [`adoption`]: adding a job to the memory of its shard as a record describes it;
+//! - [`adoption`]: loading a job into the memory of its shard from a live record;
 //! - [`polling`]: polls and forecasts;
 //! - [`cancellation`]: cancelling a job;
 //! - [`submission`]: validating a submission and choosing the controller that accepts the job;
-//! - [`feasibility`]: whether a job can ever run;
-//! - [`new_job`]: the first record of a job;
-//! - [`acceptance`]: writing that record, and what follows from the answer;
-//! - [`handoff`]: jobs that another controller accepted for a shard of this node.
+//! - [`feasibility`]: rejecting jobs that can never run;
+//! - [`new_job`]: construction of the first record of a job;
+//! - [`acceptance`]: committing the first record of a job and handling the answer;
+//! - [`handoff`]: jobs that another controller accepted for a shard led by this node.
 
 mod acceptance;
 mod adoption;
@@ -37,49 +37,49 @@
 use crate::protocol::state::StateResult;
 use std::collections::{HashMap, HashSet};
 
-/// Requests of users that wait for the state service.
+/// User requests that are waiting for the state service.
 #[derive(Default)]
 pub(super) struct UserRequests {
-    /// Jobs whose acceptance is being recorded, with those who submitted them.
+    /// Jobs whose first records are being written, with the requesters that wait for the outcome.
     accepting: HashMap<JobId, Vec<Requester>>,
-    /// The keys of hand-off records that are being read or removed.
+    /// Keys of the hand-off records that are being read or removed.
     handoffs_in_flight: HashSet<String>,
 }
 
 impl UserRequests {
-    /// Whether the acceptance of a job is being recorded.
+    /// Returns `true` if the first records of a job are being written.
     fn is_accepting(&self, job: &JobId) -> bool {
         self.accepting.contains_key(job)
     }
 
-    /// Has a requester wait until the acceptance of a job is recorded.
+    /// Adds a requester that is answered once the write of a job's first records has an outcome.
     fn await_acceptance(&mut self, job: &JobId, requester: Requester) {
         self.accepting.entry(job.clone()).or_default().push(requester);
     }
 
-    /// Returns those who wait for the acceptance of a job, now that the outcome is known.
+    /// Removes and returns the requesters that wait for the acceptance of a job.
     fn take_accepting(&mut self, job: &JobId) -> Vec<Requester> {
         self.accepting.remove(job).unwrap_or_default()
     }
 
-    /// Whether a hand-off record is being handled.
+    /// Returns `true` if a hand-off record is being read or removed.
     fn is_handling(&self, key: &str) -> bool {
         self.handoffs_in_flight.contains(key)
     }
 
-    /// Notes that a hand-off record is being handled.
+    /// Marks a hand-off record as being read or removed, so that it is not processed twice at the same time.
     fn begin_handoff(&mut self, key: &str) {
         self.handoffs_in_flight.insert(key.to_string());
     }
 
-    /// Notes that a hand-off record is not being handled any more. If it still exists it will be seen again.
+    /// Ends the processing of a hand-off record. If the record still exists, it is processed when it is next seen.
     fn finish_handoff(&mut self, key: &str) {
         self.handoffs_in_flight.remove(key);
     }
 }
 
 impl Controller {
-    /// Handles an answer of the state service to a call that was made for a user.
+    /// Handles the answer of the state service to a call on behalf of a user.
     pub(super) fn user_operation_answered(&mut self, operation: UserOperation, answer: StateResult) {
         match operation {
             UserOperation::LookUp(lookup) => self.job_looked_up(*lookup, answer),
--- a/src/coordination/user_requests/new_job.rs
+++ b/src/coordination/user_requests/new_job.rs
@@ -1,4 +1,4 @@
-//! A job that is being accepted: the submission, and the record that is written of it.
+//! A job that is being accepted: its submission and the first records written for it.
 
 use super::super::events::Requester;
 use super::super::shard::LOOKAHEAD;
@@ -8,52 +8,52 @@
 use crate::storage::keys;
 use crate::storage::records::{self, LiveRecord, NO_SHARD, PartRecord, to_value};
 
-/// The tasks of a new job below this number may be started before its record is written again.
+/// Start watermark of a new job: tasks below this number may be started before the job's record is written again.
 const INITIAL_START_WATERMARK: u32 = LOOKAHEAD;
 
-/// How a job is accepted.
+/// The kind of controller that accepts a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::coordination) enum AcceptancePath {
-    /// By the leader of its shard, which has the job in memory from then on.
+    /// Acceptance by the leader of the job's shard, which keeps the job in memory from then on.
     Leader,
-    /// By another controller, which leaves a hand-off record for the shard's leader.
+    /// Acceptance by another controller, which writes a hand-off record for the shard's leader.
     Handoff,
 }
 
-/// A submission of a job that is not known here.
+/// A submission of a job that is not known to this node.
 pub(in crate::coordination) struct Submission {
-    /// Who waits for the reply.
+    /// Requester that waits for the reply.
     pub requester: Requester,
-    /// The shard that the job belongs to.
+    /// Shard that the job belongs to.
     pub shard: ShardId,
-    /// What was submitted.
+    /// Specification of the job as submitted.
     pub spec: JobSpec,
-    /// How the job is to be accepted.
+    /// Kind of controller that accepts the job.
     pub path: AcceptancePath,
 }
 
 /// A new job whose records are being written.
 pub(in crate::coordination) struct NewJob {
-    /// The shard that the job belongs to.
+    /// Shard that the job belongs to.
     pub shard: ShardId,
-    /// The version of the shard's key that the commit is conditional on: the leadership term, or 0 if the shard has
-    /// no leader.
+    /// Version of the shard's key that the commit is conditional on: the leadership term, or 0 if the shard has no
+    /// leader.
     pub term: Revision,
-    /// The job's record.
+    /// Live record of the job.
     pub record: LiveRecord,
-    /// How the job is accepted.
+    /// Kind of controller that accepts the job.
     pub path: AcceptancePath,
-    /// Prerequisites that have no room in the job's record, as far as they are not written yet, in order.
+    /// Part records that are not written yet, in order: the prerequisites that do not fit into the live record.
     unwritten_parts: Vec<PartRecord>,
 }
 
-/// The record of a job does not fit into a value of the state service.
+/// Error: the record of a job does not fit into a value of the state service.
 #[derive(Debug)]
 pub(super) struct RecordTooLarge;
 
 impl NewJob {
-    /// The new job of a submission that is accepted at the given time of day. Prerequisites that have no room in the
-    /// record of at most `value_bytes` are divided among records of their own.
+    /// Creates the records of a submitted job that is accepted at `accepted_ms`, a wall-clock time in milliseconds. If
+    /// the live record would exceed `value_bytes`, its prerequisites are divided among part records.
     pub(super) fn new(
         shard: ShardId,
         term: Revision,
@@ -76,22 +76,22 @@
         }
     }
 
-    /// Returns the shard with the version of its key that the commit is conditional on.
+    /// Returns the leadership term that the commit is conditional on.
     pub fn leadership_term(&self) -> LeadershipTerm {
         LeadershipTerm { shard: self.shard, term: self.term }
     }
 
-    /// The job's id.
+    /// Returns the id of the job.
     pub fn id(&self) -> &JobId {
         &self.record.job.id
     }
 
-    /// Whether some of its prerequisites still have to be written to records of their own.
+    /// Returns `true` if part records still have to be written.
     pub fn has_unwritten_parts(&self) -> bool {
         !self.unwritten_parts.is_empty()
     }
 
-    /// Takes the next records of prerequisites, at most `max_count` of them, as changes to write.
+    /// Removes the next unwritten part records, at most `max_count` of them, and returns the changes that write them.
     pub fn take_part_changes(&mut self, max_count: usize) -> Vec<Change> {
         let first_number = self.record.parts - self.unwritten_parts.len() as u32;
         let later_parts = self.unwritten_parts.split_off(max_count.min(self.unwritten_parts.len()));
@@ -105,13 +105,13 @@
     }
 }
 
-/// Whether a new job's record fits into a value, with room for what it grows by later.
+/// Returns `true` if a new job's record fits into a value, including the growth reserved for later updates.
 fn fits_value(record: &LiveRecord, value_bytes: usize) -> bool {
     to_value(record).to_string().len() <= value_bytes.saturating_sub(records::MAX_LATER_GROWTH)
 }
 
-/// The first record of a job. The record of a job that waits for prerequisites names a shard that no controller can
-/// lead, so that no version of the program starts its tasks.
+/// Returns the first live record of a job. The record of a job that waits for prerequisites names a shard that no
+/// controller can lead, so that no version of the program starts its tasks.
 fn new_record(shard: ShardId, job: JobSpec, accepted_ms: u64) -> LiveRecord {
     let waits = !job.prerequisites.is_empty();
     let start_watermark = job.tasks.min(INITIAL_START_WATERMARK);
--- a/src/coordination/user_requests/operations.rs
+++ b/src/coordination/user_requests/operations.rs
@@ -1,4 +1,4 @@
-//! Calls to the state service that requests of users lead to, with what is kept of a request until the answer comes.
+//! Calls to the state service on behalf of users, with the context that is needed to handle their answers.
 
 use super::super::events::Requester;
 use super::super::job_record_reads::JobRecordKind;
@@ -13,16 +13,16 @@
 pub(in crate::coordination) enum UserOperation {
     /// Reads the record of a job that is not in memory.
     LookUp(Box<JobLookup>),
-    /// Records a new job.
+    /// Writes the first records of a new job.
     Accept(Box<NewJob>),
-    /// Reads the record of a job that another controller accepted for this shard. `sent` is when the read was sent.
+    /// Reads the live record of a job that another controller accepted for this shard; `sent` is the time of sending.
     ReadHandoff { leadership: LeadershipTerm, handoff: HandoffRecord, sent: Time },
-    /// Removes the hand-off record under that key: its job is known here by now.
+    /// Removes the hand-off record with the given key, since its job is in memory or known to have ended.
     RemoveHandoff { handoff: String },
 }
 
 impl UserOperation {
-    /// The class of traffic by which the call is admitted.
+    /// Returns the traffic class under which the call is admitted.
     pub fn traffic_class(&self) -> TrafficClass {
         match self {
             UserOperation::LookUp(_) => TrafficClass::RecordRead,
@@ -31,7 +31,7 @@
         }
     }
 
-    /// The term that was a condition of the transaction, if there was one.
+    /// Returns the leadership term that the transaction is conditional on, if any.
     pub fn leadership_condition(&self) -> Option<LeadershipTerm> {
         match self {
             UserOperation::Accept(new_job) => Some(new_job.leadership_term()),
@@ -42,39 +42,39 @@
 
 /// A hand-off record in the state service.
 pub(in crate::coordination) struct HandoffRecord {
-    /// Its key, which names the shard and the job.
+    /// Key of the record, which contains the shard and the job id.
     pub(super) key: String,
-    /// The version in which it was seen.
+    /// Version of the record when it was seen.
     pub(super) version: Revision,
 }
 
-/// A request about a job whose record is being read because the job is not in memory here.
+/// A request about a job whose records are being read because the job is not in memory on this node.
 pub(in crate::coordination) struct JobLookup {
-    /// Who waits for the reply.
+    /// Requester that waits for the reply.
     pub(super) requester: Requester,
-    /// The job in question.
+    /// Job that the request is about.
     pub(super) job: JobId,
-    /// What the record is read for.
+    /// Request that the records are read for.
     pub(super) purpose: LookupPurpose,
-    /// Which of the job's records is being read.
+    /// Kind of the record that is being read.
     pub(super) reading: JobRecordKind,
-    /// When the read of the live record was sent.
+    /// Time at which the read of the live record was sent.
     pub(super) sent: Time,
 }
 
-/// What the record of a job is read for.
+/// The request that a job's records are read for.
 pub(in crate::coordination) enum LookupPurpose {
-    /// The user asked how the job stands.
+    /// A poll of the job.
     Poll,
-    /// The user asked the same, and the answer has to come from the records alone, whichever controller leads the
-    /// shard.
+    /// A poll that has to be answered from the records alone, whichever controller leads the job's shard.
     DependencyTraversal,
-    /// The user asked to cancel the job.
+    /// A cancellation of the job.
     Cancel,
-    /// The user asked for the job's forecast.
+    /// A request for the job's forecast.
     Forecast,
-    /// The job can't be accepted: it gets this reply, unless its submission repeats one that was accepted.
+    /// A submission that can't be accepted: it is answered with the given reply, unless it repeats a submission that
+    /// was accepted.
     Refuse(Reply),
-    /// The acceptance failed since the job is recorded already.
+    /// A submission whose commit failed because the job has a record already.
     AlreadyRecorded,
 }
--- a/src/coordination/user_requests/polling.rs
+++ b/src/coordination/user_requests/polling.rs
@@ -1,5 +1,5 @@
-//! Polls and forecasts: answered from memory where this node leads the job's shard, else by the shard's leader, else
-//! from the records.
+//! Polls and forecasts: answered from memory if this node leads the job's shard, otherwise by the shard's leader, and
+//! otherwise from the records.
 
 use super::super::controller::Controller;
 use super::super::events::Requester;
@@ -9,17 +9,17 @@
 use crate::protocol::peers::ForwardedRequest;
 use crate::protocol::{BusyReason, Reply};
 
-/// What a user wants to know of a job.
+/// A read-only request about a job.
 #[derive(Clone, Copy)]
 enum JobQuery {
-    /// How the job stands.
+    /// A request for the job's state.
     Poll,
-    /// When the job is expected to be done.
+    /// A request for the job's expected finish time.
     Forecast,
 }
 
 impl JobQuery {
-    /// The request that passes the query to the leader of the job's shard.
+    /// Returns the request that forwards the query to the leader of the job's shard.
     fn forwarded(self, job: JobId) -> ForwardedRequest {
         match self {
             JobQuery::Poll => ForwardedRequest::Poll(job),
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Why the job's record is read, if the query is answered from the records.
+    /// Returns the purpose of the lookup if the query is answered from the records.
     fn lookup_purpose(self) -> LookupPurpose {
         match self {
             JobQuery::Poll => LookupPurpose::Poll,
@@ -42,8 +42,8 @@
         self.answer_query(requester, job, JobQuery::Poll);
     }
 
-    /// Answers a request for a job's forecast, which the leader of its shard has. The answer for a job that has ended is
-    /// its state.
+    /// Answers a request for a job's forecast, which only the leader of the job's shard has. A job that has ended is
+    /// answered with its state.
     pub(in crate::coordination) fn forecast(&mut self, requester: Requester, job: JobId) {
         if self.forecasts.is_none() {
             return self.reply(requester, Reply::error(404, "forecasts are off"));
@@ -51,7 +51,8 @@
         self.answer_query(requester, job, JobQuery::Forecast);
     }
 
-    /// Answers a query here if the job is in memory, else has its shard's leader answer, else reads the records.
+    /// Answers a query from memory if the job is there, otherwise forwards it to the leader of the job's shard, and
+    /// otherwise reads the records.
     fn answer_query(&mut self, requester: Requester, job: JobId, query: JobQuery) {
         if let Some(reply) = self.known_final_reply(&job) {
             return self.reply(requester, reply);
@@ -105,7 +106,7 @@
         }
     }
 
-    /// Answers a poll from the final record if that is in memory, else from the records alone.
+    /// Answers a poll from the final record if it is in memory, and otherwise from the records in the state service.
     pub(super) fn poll_records(&mut self, requester: Requester, job: &JobId) {
         match self.known_final_reply(job) {
             Some(reply) => self.reply(requester, reply),
@@ -113,17 +114,18 @@
         }
     }
 
-    /// The reply for a job that is known here to have ended.
+    /// Returns the reply for a job that this node knows to have ended, or `None` for any other job.
     pub(super) fn known_final_reply(&self, job: &JobId) -> Option<Reply> {
         self.directory.end_of(job).map(|end| final_reply(job, end))
     }
 
-    /// The shard of this node that has the job in memory.
+    /// Returns the shard led by this node that has the job in memory.
     pub(in crate::coordination) fn shard_with(&self, job: &JobId) -> Option<ShardId> {
         self.shards.values().find(|shard| shard.is_active() && shard.has(job)).map(|shard| shard.id)
     }
 
-    /// The shard that a job belongs to if it exists at all, as far as that is known without reading records.
+    /// Returns the shard that a job belongs to if the job exists, or `None` if that is not known without reading
+    /// records.
     fn likely_shard(&self, job: &JobId) -> Option<ShardId> {
         self.directory.job_shard(job).or(self.only_shard())
     }
--- a/src/coordination/user_requests/submission.rs
+++ b/src/coordination/user_requests/submission.rs
@@ -1,4 +1,5 @@
-//! Submitting a job: whether it is known already, whether it can be accepted, and which controller accepts it.
+//! Submission of jobs: recognises repeated submissions, rejects jobs that can't be accepted, and chooses the controller
+//! that accepts the job.
 
 use super::super::controller::Controller;
 use super::super::events::Requester;
@@ -10,7 +11,8 @@
 use crate::protocol::{BusyReason, Reply};
 
 impl Controller {
-    /// Refuses a submission that is not valid.
+    /// Refuses an invalid submission. If its job id could be parsed, a repeated submission of an accepted job is still
+    /// answered with the job's state.
     pub(in crate::coordination) fn reject(&mut self, requester: Requester, invalid: InvalidJob) {
         let refusal = Reply::error(400, &invalid.reason.to_string());
         match invalid.id {
@@ -19,7 +21,7 @@
         }
     }
 
-    /// Refuses a submission for good, unless its job was accepted before: a repeated submission is answered with the
+    /// Refuses a submission permanently, unless its job was accepted before: a repeated submission is answered with the
     /// job's state.
     pub(in crate::coordination) fn refuse_unless_accepted(&mut self, requester: Requester, id: JobId, refusal: Reply) {
         if let Some(reply) = self.known_final_reply(&id) {
@@ -31,7 +33,7 @@
         }
     }
 
-    /// Handles the submission of a job by a client of this node.
+    /// Handles a submission that a client sent to this node.
     pub(in crate::coordination) fn submit(&mut self, requester: Requester, spec: JobSpec) {
         if let Some(reply) = self.known_final_reply(&spec.id) {
             return self.reply(requester, reply);
@@ -51,7 +53,7 @@
         }
     }
 
-    /// Has the job accepted by this node if it leads the shard, else by the leader.
+    /// Accepts the job on this node if it leads the shard, and otherwise forwards the submission to the leader.
     fn submit_to_shard(&mut self, requester: Requester, shard_id: ShardId, spec: JobSpec) {
         match self.shards.get(&shard_id) {
             Some(shard) if shard.is_active() => self.submit_here(requester, shard_id, spec),
@@ -60,13 +62,13 @@
         }
     }
 
-    /// Has the leader of a shard accept a job.
+    /// Forwards a submission to the leader of the job's shard.
     fn forward_submission(&mut self, requester: Requester, shard: ShardId, spec: JobSpec) {
         self.directory.set_job_shard(spec.id.clone(), shard);
         if spec.prerequisites.is_empty() {
             return self.forward(requester, shard, ForwardedRequest::Submit(Box::new(spec)));
         }
-        // A leader of an older version would start the job without waiting for its prerequisites.
+        // A leader that runs an older version would start the job without waiting for its prerequisites.
         let leader = self.leader_of(shard).and_then(|leader| self.membership.peer(leader));
         if leader.is_some_and(|peer| peer.peer_status.message_version >= WAITING_JOBS_VERSION) {
             self.forward(requester, shard, ForwardedRequest::SubmitWaiting(Box::new(spec)));
@@ -75,9 +77,10 @@
         }
     }
 
-    /// The shard of a team's jobs. All of them go to one shard: so a limited team's quota is kept in one place, and
-    /// all jobs of a team can use all machines that work for it, while machines that are partly full could not
-    /// follow the work from shard to shard.
+    /// Returns the shard that a job belongs to, or `None` if its team is not configured.
+    ///
+    /// All jobs of a team belong to one shard, so that a team's quota is enforced in one place and all its jobs can use
+    /// all machines that run its work. A partly occupied machine could not be moved to another shard.
     fn shard_for(&self, spec: &JobSpec) -> Option<ShardId> {
         let position = self.settings.teams.keys().position(|team| *team == spec.team)?;
         Some(ShardId(position as u32 % self.settings.team_shards()))
@@ -94,11 +97,12 @@
         self.check_and_accept(Submission { requester, shard: shard_id, spec, path: AcceptancePath::Leader });
     }
 
-    /// Accepts a job for a shard whose leader cannot be asked: leadership is changing, or the network between the
-    /// controllers is down.
+    /// Accepts a job for a shard whose leader cannot be reached, because leadership is changing or the network between
+    /// the controllers is down.
     ///
-    /// The record is conditional on the shard's key as it stands, whether the shard has a leader or not. The next
-    /// leader loads the record; the present one finds the hand-off record.
+    /// The commit is conditional on the current version of the shard's key, whether or not the shard has a leader. A
+    /// later leader loads the live record when it loads the shard; the current leader learns of the job from the
+    /// hand-off record.
     pub(in crate::coordination) fn submit_remotely(&mut self, requester: Requester, spec: JobSpec) {
         match self.shard_for(&spec) {
             Some(shard) => self.check_and_accept(Submission { requester, shard, spec, path: AcceptancePath::Handoff }),
@@ -106,7 +110,7 @@
         }
     }
 
-    /// Accepts the submitted job once all its prerequisites are known to have been accepted.
+    /// Accepts the submitted job, after checking that all its prerequisites were accepted.
     fn check_and_accept(&mut self, submission: Submission) {
         if submission.spec.prerequisites.is_empty() {
             self.accept(submission);
--- a/src/coordination/user_requests/views.rs
+++ b/src/coordination/user_requests/views.rs
@@ -1,4 +1,4 @@
-//! Replies that report how a job stands.
+//! Replies that report the state of a job.
 
 use super::super::shard::Job;
 use crate::model::{FinalState, JobId};
@@ -6,12 +6,12 @@
 use crate::protocol::{BusyReason, Reply};
 use crate::storage::records::EndRecord;
 
-/// The reply that a job is in the given state, with so many tasks completed and running.
+/// Returns the reply that reports a job's state, with its numbers of completed and running tasks.
 pub(in crate::coordination) fn state_reply(id: &JobId, state: JobState, done: u32, running: u32) -> Reply {
     Reply::json(200, &JobView::new(id, state, done, running))
 }
 
-/// The reply that a job has ended as its final record says.
+/// Returns the reply that reports the end of a job according to its final record.
 pub(in crate::coordination) fn final_reply(id: &JobId, end: &EndRecord) -> Reply {
     let state = match end.state {
         FinalState::Done => JobState::Done,
@@ -20,10 +20,11 @@
     Reply::json(200, &JobView { withdrawn_with: end.cause.clone(), ..JobView::new(id, state, end.done, 0) })
 }
 
-/// The state of a live job that may be reported to users, or `None` if they have to retry.
+/// Returns the state of a live job that may be reported to users, or `None` if they have to retry.
 pub(in crate::coordination) fn live_state(job: &Job) -> Option<JobState> {
-    // While the final record is being written, another controller may have read it already. A job whose tasks are
-    // all done but whose final record still waits to be written is reported as running.
+    // While a write of the final record is in flight or in doubt, another controller may already have read the record
+    // and reported the end. A job whose tasks are all done but whose final record is not being written yet is reported
+    // as running.
     let final_record_may_exist = job.record.outcome_unknown
         || job.record.final_write_in_doubt
         || job.ending.is_some() && job.record.call_in_flight;
@@ -34,7 +35,7 @@
     Some(if runs { JobState::Running } else { JobState::Queued })
 }
 
-/// The reply to a poll of a job that is in memory.
+/// Returns the reply to a poll of a job that is in memory.
 pub(super) fn live_reply(job: &Job) -> Reply {
     match live_state(job) {
         Some(state) => state_reply(&job.spec.id, state, job.progress.done.len(), job.progress.running.len() as u32),
