--- a/crates/dependencies/src/graph.rs
+++ b/crates/dependencies/src/graph.rs
@@ -9,16 +9,16 @@
 use petgraph::visit::{Dfs, Reversed};
 use std::collections::{HashMap, HashSet};
 
-/// What is known of a job in the graph.
+/// Status of a job in the graph.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum JobStatus {
-    /// The job is known only as a prerequisite: another shard has it, or it ended long ago.
+    /// A job known only as a prerequisite: it belongs to another shard or ended long ago.
     Unknown,
-    /// The job is accepted and does not wait for any prerequisite.
+    /// An accepted job that does not wait for any prerequisite.
     Runnable,
-    /// The job waits for prerequisites.
+    /// A job that waits for prerequisites.
     Waiting,
-    /// A prerequisite, direct or indirect, was cancelled: that one.
+    /// A job withdrawn because the given direct or indirect prerequisite was cancelled.
     Withdrawn(JobId),
 }
 
@@ -27,9 +27,9 @@
 struct JobNode {
     job: JobId,
     status: JobStatus,
-    /// The urgency that the user gave the job.
+    /// Urgency set by the user.
     own_urgency: Urgency,
-    /// The own urgency combined with what the job inherits from its dependents.
+    /// Own urgency combined with the urgency inherited from dependents.
     inherited_urgency: Urgency,
 }
 
@@ -38,44 +38,44 @@
         matches!(self.status, JobStatus::Withdrawn(_))
     }
 
-    /// Whether the graph keeps the job even without dependents.
+    /// Returns `true` if the graph has to keep the job even without dependents.
     fn is_waiting_or_withdrawn(&self) -> bool {
         matches!(self.status, JobStatus::Waiting | JobStatus::Withdrawn(_))
     }
 }
 
-/// What the user may be told of a waiting job.
+/// The status of a waiting job that may be reported to users.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outlook {
-    /// All prerequisites, direct and indirect, are known here and not cancelled.
+    /// All direct and indirect prerequisites are in the graph, and none of them is cancelled.
     Waiting,
-    /// A prerequisite was cancelled: that one.
+    /// The given direct or indirect prerequisite was cancelled.
     Withdrawn(JobId),
-    /// It depends on prerequisites that are not known here.
+    /// Some direct or indirect prerequisite has an unknown status, so a cancellation may have been missed.
     Unknown,
-    /// It depends on a prerequisite whose cancellation is in doubt.
+    /// The cancellation of some direct or indirect prerequisite is in doubt.
     InDoubt,
 }
 
 /// The dependency graph of the jobs of one shard.
 ///
-/// Its content is a function of the durable records: the prerequisites of each waiting job, and how each of them
-/// ended. Jobs may be added in any order, so records need not be sorted when they are loaded.
+/// The content is a function of the durable records: the prerequisites of each waiting job and the final states of
+/// those prerequisites. Jobs may be added in any order, so records need not be sorted when they are loaded.
 ///
-/// Edges lead from a prerequisite to its dependents.
+/// Edges point from a prerequisite to its dependents.
 #[derive(Debug, Default)]
 pub struct DependencyGraph {
     graph: StableDiGraph<JobNode, ()>,
     index_by_job: HashMap<JobId, NodeIndex>,
-    /// Jobs known only as prerequisites.
+    /// Jobs with the status [`JobStatus::Unknown`].
     unknown_jobs: HashSet<JobId>,
     /// Jobs whose inherited urgency has changed since `take_changed` was last called.
     changed: HashSet<JobId>,
 }
 
 impl DependencyGraph {
-    /// Adds a job that waits for prerequisites, among which must be none that is done. Returns the jobs that turn out
-    /// to be withdrawn because of that, including the job itself.
+    /// Adds a job that waits for `prerequisites`, none of which may be done. If one of them is withdrawn, the job is
+    /// withdrawn too: returns the job and all its dependents in that case.
     pub fn add_waiting(&mut self, job: &JobId, prerequisites: &[JobId], urgency: Urgency) -> Vec<JobId> {
         let index = self.index_or_insert(job);
         self.set_status(index, JobStatus::Waiting);
@@ -97,7 +97,8 @@
         Vec::new()
     }
 
-    /// Marks a job as accepted and not waiting for any prerequisite. It is kept only while other jobs depend on it.
+    /// Marks a job as accepted and not waiting for any prerequisite. Such a job stays in the graph only while other
+    /// jobs depend on it; a job that is not in the graph is ignored.
     pub fn mark_runnable(&mut self, job: &JobId, urgency: Urgency) {
         let Some(index) = self.index_of(job) else { return };
         self.set_status(index, JobStatus::Runnable);
@@ -106,8 +107,8 @@
         self.remove_if_unneeded(index);
     }
 
-    /// Records that a job has ended, durably. Returns the dependents that are ready because of that, or those that
-    /// are withdrawn.
+    /// Removes a job whose end is durable. Returns the dependents that become ready if the job is done, or those that
+    /// are withdrawn, directly or indirectly, if it is cancelled.
     pub fn record_end(&mut self, job: &JobId, state: FinalState) -> Vec<JobId> {
         let Some(index) = self.index_of(job) else { return Vec::new() };
         let dependents: Vec<NodeIndex> = self.dependents_of(index).collect();
@@ -130,7 +131,7 @@
         }
     }
 
-    /// Whether a job waits in this graph and all its prerequisites are done.
+    /// Returns `true` if a job waits in this graph and all its prerequisites are done.
     pub fn is_ready(&self, job: &JobId) -> bool {
         self.index_of(job).is_some_and(|index| self.is_ready_at(index))
     }
@@ -141,13 +142,13 @@
         prerequisites.map(|prerequisite| &self.graph[prerequisite].job)
     }
 
-    /// Whether other jobs depend on a job.
+    /// Returns `true` if other jobs depend on a job.
     pub fn has_dependents(&self, job: &JobId) -> bool {
         self.index_of(job).is_some_and(|index| self.has_dependents_at(index))
     }
 
-    /// Returns what the user may be told of a waiting job. `in_doubt` has the jobs whose cancellation is being
-    /// written, and may have been read by other nodes already.
+    /// Returns the status of a waiting job that may be reported to users. `in_doubt` contains the jobs whose
+    /// cancellations are being written and may already have been read by other nodes.
     pub fn outlook(&self, job: &JobId, in_doubt: &HashSet<JobId>) -> Outlook {
         let Some(index) = self.index_of(job) else { return Outlook::Unknown };
         if let JobStatus::Withdrawn(cause) = &self.graph[index].status {
@@ -171,12 +172,13 @@
         outlook
     }
 
-    /// Returns the jobs that are known only as prerequisites.
+    /// Returns the jobs that are known only as prerequisites, so that it is not known whether they have ended.
     pub fn unknown_jobs(&self) -> impl Iterator<Item = &JobId> {
         self.unknown_jobs.iter()
     }
 
-    /// Returns the urgency of a job, including what it inherits from its dependents; none if it is not in the graph.
+    /// Returns the urgency of a job including the urgency inherited from its dependents, or `None` if the job is not in
+    /// the graph.
     pub fn inherited_urgency(&self, job: &JobId) -> Option<Urgency> {
         self.index_of(job).map(|index| self.graph[index].inherited_urgency)
     }
@@ -191,7 +193,7 @@
         self.graph.node_count()
     }
 
-    /// Whether there is no job in the graph.
+    /// Returns `true` if the graph contains no jobs.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
@@ -244,7 +246,7 @@
         }
     }
 
-    /// Removes a job that neither waits nor has dependents.
+    /// Removes a job unless it waits, is withdrawn or has dependents.
     fn remove_if_unneeded(&mut self, index: NodeIndex) {
         let Some(node) = self.graph.node_weight(index) else { return };
         if node.is_waiting_or_withdrawn() || self.has_dependents_at(index) {
@@ -252,11 +254,11 @@
         }
         let job = node.job.clone();
         self.remove(index);
-        // The job inherits no urgency any more.
+        // The job no longer inherits urgency.
         self.changed.insert(job);
     }
 
-    /// Withdraws all jobs that depend on a cancelled one and returns them.
+    /// Withdraws all direct and indirect dependents of a cancelled job and returns them.
     fn withdraw_dependents(&mut self, index: NodeIndex) -> Vec<JobId> {
         let node = &self.graph[index];
         let cause = match &node.status {
@@ -267,7 +269,8 @@
         dependents.into_iter().flat_map(|dependent| self.withdraw_with_dependents(dependent, &cause)).collect()
     }
 
-    /// Withdraws a job and all that depend on it, directly or indirectly, and returns them.
+    /// Withdraws a job and all its direct and indirect dependents, and returns them without those that were withdrawn
+    /// before.
     fn withdraw_with_dependents(&mut self, index: NodeIndex, cause: &JobId) -> Vec<JobId> {
         let mut withdrawn = Vec::new();
         let mut prerequisites = Vec::new();
@@ -281,7 +284,7 @@
             stack.extend(self.dependents_of(index));
             prerequisites.extend(self.prerequisites_of(index));
         }
-        // The other prerequisites of the withdrawn jobs have fewer dependents now.
+        // The remaining prerequisites of the withdrawn jobs no longer inherit urgency from them.
         prerequisites.retain(|prerequisite| !self.graph[*prerequisite].is_withdrawn());
         prerequisites.sort();
         prerequisites.dedup();
--- a/crates/dependencies/src/graph/inheritance.rs
+++ b/crates/dependencies/src/graph/inheritance.rs
@@ -4,16 +4,17 @@
 use crate::urgency::Urgency;
 use petgraph::stable_graph::NodeIndex;
 
-/// A job that a change of urgency has reached, after that many edges.
+/// A job to be visited by the propagation of a change of urgency.
 struct Visit {
     index: NodeIndex,
+    /// Number of edges from the job at which the change began.
     depth: usize,
 }
 
 impl DependencyGraph {
-    /// Raises the inherited urgency of a job to at least `urgency`, and that of its prerequisites accordingly.
+    /// Raises the inherited urgency of a job to at least `urgency`, and propagates the increase to its prerequisites.
     pub(super) fn raise_urgency(&mut self, index: NodeIndex, urgency: Urgency) {
-        // The depth is bounded, since records with a cycle of prerequisites would otherwise be followed forever.
+        // The depth is bounded, since the loop would not terminate for records with a cycle of prerequisites.
         let max_depth = self.graph.node_count();
         let mut stack = vec![(Visit { index, depth: 0 }, urgency)];
         while let Some((Visit { index, depth }, urgency)) = stack.pop() {
@@ -30,8 +31,8 @@
         }
     }
 
-    /// Computes the inherited urgency of jobs anew that have lost dependents, and that of their prerequisites if it
-    /// has changed.
+    /// Recomputes the inherited urgency of jobs that have lost dependents, and propagates changes to their
+    /// prerequisites.
     pub(super) fn recompute_urgency(&mut self, jobs: Vec<NodeIndex>) {
         let max_depth = self.graph.node_count();
         let mut stack: Vec<Visit> = jobs.into_iter().map(|index| Visit { index, depth: 0 }).collect();
@@ -45,7 +46,7 @@
         }
     }
 
-    /// Returns a job's own urgency combined with what it inherits from all dependents that are not withdrawn.
+    /// Returns a job's own urgency combined with the urgency inherited from all dependents that are not withdrawn.
     fn urgency_from_dependents(&self, index: NodeIndex) -> Urgency {
         let dependents = self.dependents_of(index).map(|dependent| &self.graph[dependent]);
         let inherited = dependents
--- a/crates/dependencies/src/lib.rs
+++ b/crates/dependencies/src/lib.rs
@@ -1,11 +1,11 @@
 //! Dependencies between jobs.
 //!
-//! [`DependencyGraph`] keeps in memory the jobs of one shard that wait for prerequisites, and those prerequisites. It
-//! tells which jobs are ready when a prerequisite is done, which are withdrawn when one is cancelled, and how urgent
-//! a job is because of the jobs that depend on it ([`Urgency`]).
+//! [`DependencyGraph`] holds the jobs of one shard that wait for prerequisites, together with those prerequisites. It
+//! determines which jobs become ready when a prerequisite is done, which jobs are withdrawn when one is cancelled, and
+//! the urgency that a job inherits from the jobs that depend on it ([`Urgency`]).
 //!
-//! Nothing in this crate performs I/O or reads a clock. No function is recursive, so a chain of dependencies may be of
-//! any length.
+//! Nothing in this crate performs I/O or reads a clock. No function is recursive, so the length of a chain of
+//! dependencies is not limited by the stack.
 
 #![warn(missing_docs)]
 
--- a/crates/dependencies/src/urgency.rs
+++ b/crates/dependencies/src/urgency.rs
@@ -1,29 +1,29 @@
-//! How urgent a job is, and how much of that its prerequisites inherit.
+//! Urgency of a job, and the urgency that its prerequisites inherit.
 
 use crowstall_model::model::Priority;
 
-/// The priority and the due times of a job. All times are wall-clock times in milliseconds.
+/// The priority and the due times of a job. Due times are wall-clock times in milliseconds since the Unix epoch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Urgency {
-    /// The priority, the most urgent first.
+    /// Priority; a smaller value is more urgent.
     pub priority: Priority,
-    /// When the job should be done.
+    /// Time by which the job should be done. `None` if the job has no deadline.
     pub due_ms: Option<u64>,
-    /// Until when the job's result is still of use.
+    /// Time until which the job's result is still of use. `None` if the job has no deadline.
     pub late_ms: Option<u64>,
-    /// How long the job's own tasks are expected to run.
+    /// Expected run time of the job's own tasks in milliseconds.
     pub run_ms: u64,
 }
 
 impl Default for Urgency {
-    /// The lowest priority and no due time.
+    /// Returns an urgency with the lowest priority, no due times and no run time.
     fn default() -> Urgency {
         Urgency { priority: Priority::BestEffort, due_ms: None, late_ms: None, run_ms: 0 }
     }
 }
 
 impl Urgency {
-    /// Returns the more urgent of both in every respect, for a job that runs as long as this one.
+    /// Returns the higher priority and the earlier due times of both, with the run time of `self`.
     pub fn combine(&self, other: &Urgency) -> Urgency {
         Urgency {
             priority: self.priority.min(other.priority),
@@ -33,15 +33,15 @@
         }
     }
 
-    /// Returns what the prerequisites of a job with this urgency inherit: they have to be done `run_ms` earlier, the
-    /// time that the job itself will run.
+    /// Returns the urgency that the prerequisites of a job with this urgency inherit: their due times are earlier by
+    /// `run_ms`, the expected run time of the job itself.
     pub fn for_prerequisites(&self, run_ms: u64) -> Urgency {
         let subtract_run = |time: Option<u64>| time.map(|time| time.saturating_sub(run_ms));
         Urgency { due_ms: subtract_run(self.due_ms), late_ms: subtract_run(self.late_ms), ..*self }
     }
 }
 
-/// Returns the earlier of two times, where none is later than all.
+/// Returns the earlier of two times, where `None` is later than any time.
 fn earlier(one: Option<u64>, other: Option<u64>) -> Option<u64> {
     one.into_iter().chain(other).min()
 }
--- a/crates/dependencies/tests/dependency_graph.rs
+++ b/crates/dependencies/tests/dependency_graph.rs
@@ -1,5 +1,5 @@
-//! Seeded random pipelines against a naive model: after every step, readiness, withdrawal and urgency are computed
-//! anew from the prerequisites of every job and how each of them ended.
+//! Compares the dependency graph with a naive model on seeded random pipelines. After every step, the model recomputes
+//! readiness, withdrawal and urgency from the prerequisites and final states of all jobs.
 
 use crowstall_dependencies::{DependencyGraph, Outlook, Urgency};
 use crowstall_model::model::{FinalState, JobId, Priority};
@@ -13,7 +13,7 @@
     prerequisites: Vec<usize>,
     urgency: Urgency,
     end: Option<FinalState>,
-    /// Whether the job was added to the graph. Other jobs may have it as a prerequisite before that.
+    /// `true` if the job was added to the graph. Other jobs may name it as a prerequisite before that.
     is_added: bool,
 }
 
@@ -28,7 +28,7 @@
     Urgency { priority: priorities[rng.random_range(0..4)], due_ms, late_ms, run_ms: rng.random_range(0..5_000) }
 }
 
-/// All jobs by their numbers, as the records have them.
+/// All jobs by number, with the content of their records.
 #[derive(Default)]
 struct Model {
     jobs: BTreeMap<usize, ModelJob>,
@@ -43,14 +43,15 @@
         self.jobs[&job].prerequisites.iter().copied().filter(|prerequisite| !self.is_done(*prerequisite)).collect()
     }
 
-    /// Whether a prerequisite was cancelled, directly or indirectly.
+    /// Returns `true` if a direct or indirect prerequisite was cancelled.
     fn is_withdrawn(&self, job: usize) -> bool {
         self.jobs[&job].prerequisites.iter().any(|prerequisite| {
             self.jobs[prerequisite].end == Some(FinalState::Cancelled) || self.is_withdrawn(*prerequisite)
         })
     }
 
-    /// Whether the job depends, directly or indirectly, on a job that has not ended and was not added to the graph.
+    /// Returns `true` if the job depends, directly or indirectly, on a job that has not ended and was not added to the
+    /// graph.
     fn depends_on_unknown(&self, job: usize) -> bool {
         let is_open = |prerequisite: &&usize| self.jobs[*prerequisite].end.is_none();
         self.jobs[&job]
@@ -60,7 +61,8 @@
             .any(|prerequisite| !self.jobs[prerequisite].is_added || self.depends_on_unknown(*prerequisite))
     }
 
-    /// The urgency of a job with what it inherits from all dependents that the graph has not reported as withdrawn.
+    /// Returns the urgency of a job combined with the urgency inherited from all dependents that the graph has not
+    /// reported as withdrawn.
     fn inherited_urgency(&self, withdrawn: &HashSet<JobId>, job: usize) -> Urgency {
         let is_dependent = |other: &&usize| {
             let other = &self.jobs[*other];
@@ -74,7 +76,7 @@
     }
 }
 
-/// How many times each case was checked.
+/// Number of checks made of each case.
 #[derive(Debug, Default)]
 struct Checked {
     ready: u32,
@@ -82,14 +84,15 @@
     withdrawn: u32,
 }
 
-/// One random pipeline, in the model and in the graph.
+/// One random pipeline, held both by the model and by the graph.
 struct Run {
     seed: u64,
     rng: SmallRng,
     graph: DependencyGraph,
     model: Model,
-    /// The jobs that the graph has reported as withdrawn or as ready.
+    /// Jobs that the graph has reported as withdrawn.
     withdrawn: HashSet<JobId>,
+    /// Jobs that the graph has reported as ready.
     ready: HashSet<JobId>,
 }
 
@@ -123,7 +126,7 @@
         }
     }
 
-    /// A job enters the records; it is added to the graph later.
+    /// Adds a job to the model only; the job is added to the graph in a later step.
     fn create_job(&mut self) {
         let number = self.model.jobs.len();
         let count = self.rng.random_range(0..4usize).min(number);
@@ -145,7 +148,8 @@
         self.model.jobs.get_mut(&number).unwrap().is_added = true;
     }
 
-    /// A node knows which prerequisites it has in memory, and reads how the others ended.
+    /// Reports the prerequisites of a job that are runnable or cancelled to the graph, as a controller does from its
+    /// memory and from the records.
     fn update_prerequisites(&mut self, number: usize) {
         for prerequisite in self.model.jobs[&number].prerequisites.clone() {
             let job = &self.model.jobs[&prerequisite];
@@ -199,7 +203,7 @@
         let outlook = self.graph.outlook(&job, &HashSet::new());
         let is_expected = match (&outlook, is_withdrawn, self.model.depends_on_unknown(number)) {
             (Outlook::Withdrawn(_), true, _) => true,
-            // A job that is not known here may hide a cancelled prerequisite.
+            // A cancelled prerequisite may be hidden behind a job with an unknown status.
             (Outlook::Unknown, _, true) => true,
             (Outlook::Waiting, false, false) => true,
             _ => false,
@@ -248,7 +252,7 @@
 
 const LONG_DUE: Urgency = Urgency { priority: Priority::High, due_ms: Some(90_000_000), late_ms: None, run_ms: 1_000 };
 
-/// A recursive traversal would overflow the stack.
+/// Guards against recursive traversals, which would overflow the stack on a chain of 20,000 jobs.
 #[test]
 fn long_chains_of_dependencies_are_traversed() {
     let mut graph = DependencyGraph::default();
@@ -264,7 +268,8 @@
     assert_eq!(graph.record_end(&id(0), FinalState::Cancelled).len(), last);
 }
 
-/// A traversal in quadratic time would take too long.
+/// Guards against traversals in quadratic time, which would take too long with 5,000 prerequisites and 5,000
+/// dependents.
 #[test]
 fn jobs_with_many_prerequisites_and_dependents_are_traversed() {
     let mut graph = DependencyGraph::default();
