--- a/src/coordination/dependencies/final_record.rs
+++ b/src/coordination/dependencies/final_record.rs
@@ -1,4 +1,4 @@
-//! Writing how a job has ended.
+//! Construction of final records and of the transactions that write them.
 
 use crate::coordination::leadership_term::LeadershipTerm;
 use crate::model::{FinalState, JobId, Revision};
@@ -6,7 +6,7 @@
 use crate::storage::keys;
 use crate::storage::records::{EndRecord, to_value};
 
-/// The transaction that replaces the live record of a job by its final record.
+/// Returns the transaction that replaces the live record of a job, in the given version, by its final record.
 pub(in crate::coordination) fn final_record_request(
     leadership: LeadershipTerm,
     id: &JobId,
@@ -24,8 +24,8 @@
     }
 }
 
-/// The final record of a job that was cancelled while it waited for prerequisites, by its user or together with the
-/// cancelled prerequisite `cause`.
+/// Returns the final record of a job that was cancelled while it waited for prerequisites, either by its user or
+/// because its prerequisite `cause` was cancelled.
 pub(super) fn cancelled_before_start(cause: Option<JobId>) -> EndRecord {
     EndRecord { state: FinalState::Cancelled, done: 0, cause }
 }
--- a/src/coordination/dependencies/mod.rs
+++ b/src/coordination/dependencies/mod.rs
@@ -1,16 +1,16 @@
 //! Jobs that wait for prerequisites.
 //!
-//! Which job is ready, and which jobs are withdrawn when one is cancelled, is decided by `crowstall_dependencies`. Here
-//! are the records of waiting jobs, the reads and writes of them, and what is reported to users. Why no task starts too
-//! early, and why no job is reported as live after one of its prerequisites was cancelled, is explained in
-//! `docs/job-dependencies.md`. The state of the waiting jobs of a shard is in `waiting_jobs`.
+//! `crowstall_dependencies` determines which jobs are ready, and which jobs are withdrawn when one is cancelled. This
+//! module reads and writes the records of waiting jobs and answers requests about them; the in-memory state of a
+//! shard's waiting jobs is in `waiting_jobs`. `docs/job-dependencies.md` explains why no task is started before the
+//! prerequisites are done, and why no job is reported as live after one of its prerequisites was cancelled.
 //!
-//! - [`operations`]: the calls to the state service;
-//! - [`final_record`]: writing how a job has ended;
+//! - [`operations`]: calls to the state service;
+//! - [`final_record`]: construction of final records;
 //! - [`waiting_records`]: writing and reading the records of waiting jobs;
-//! - [`prerequisite_parts`]: prerequisites that have no room in their job's record;
-//! - [`prerequisite_ends`]: learning how prerequisites have ended;
-//! - [`prerequisite_check`]: whether the prerequisites of a new job were accepted;
+//! - [`prerequisite_parts`]: part records, for prerequisites that do not fit into their job's record;
+//! - [`prerequisite_ends`]: finding the ends of prerequisites that are not in memory;
+//! - [`prerequisite_check`]: checking that the prerequisites of a new job were accepted;
 //! - [`traversal`]: answering a poll from the records alone;
 //! - [`requests`]: polls and cancellations of waiting jobs.
 
@@ -31,7 +31,7 @@
 use crate::protocol::state::StateResult;
 
 impl Controller {
-    /// Handles an answer of the state service to a call that concerns jobs with prerequisites.
+    /// Handles the answer of the state service to a call for a job with prerequisites.
     pub(super) fn dependency_answered(&mut self, operation: DependencyOperation, answer: StateResult) {
         match operation {
             DependencyOperation::WaitingJob { leadership, job, operation } => {
@@ -46,8 +46,8 @@
         }
     }
 
-    /// The periodic work for the waiting jobs of a shard: reads what is missing about their prerequisites and writes
-    /// the records that are due.
+    /// Performs the periodic work for the waiting jobs of a shard: reads their missing part records, looks for ended
+    /// prerequisites, and writes the records that are due.
     pub(super) fn dependencies_tick(&mut self, shard_id: ShardId) {
         self.read_parts(shard_id);
         self.find_prerequisite_ends(shard_id);
--- a/src/coordination/dependencies/operations.rs
+++ b/src/coordination/dependencies/operations.rs
@@ -1,4 +1,4 @@
-//! Calls to the state service that concern jobs with prerequisites, with what is kept until the answer comes.
+//! Calls to the state service for jobs with prerequisites, with the context that is needed to handle their answers.
 
 use super::super::events::Requester;
 use super::super::job_record_reads::{JobRecordKind, VersionedRecord};
@@ -9,26 +9,26 @@
 use crate::storage::records::{EndRecord, LiveRecord};
 use std::collections::HashSet;
 
-/// A call to the state service that concerns jobs with prerequisites.
+/// A call to the state service for a job with prerequisites.
 pub(in crate::coordination) enum DependencyOperation {
     /// Writes or reads the record of a waiting job.
     WaitingJob { leadership: LeadershipTerm, job: JobId, operation: WaitingRecordOperation },
-    /// Lists final records to learn how prerequisites have ended that are not in memory.
+    /// Lists final records to find the ends of prerequisites that are not in memory.
     ListFinalRecords { leadership: LeadershipTerm },
-    /// Reads prerequisites that are kept in records of their own.
+    /// Reads a part record of a job that is being loaded.
     ReadPart(Box<PartRead>),
-    /// Writes prerequisites that are kept in records of their own.
+    /// Writes part records of a new job.
     WriteParts(Box<NewJob>),
-    /// Removes such a record.
+    /// Removes an obsolete part record.
     RemovePart,
-    /// Checks that a prerequisite of a new job was accepted.
+    /// Reads a record to check that a prerequisite of a new job was accepted.
     CheckPrerequisite(Box<PrerequisiteCheck>),
     /// Reads the next record of a dependency traversal.
     Traverse(Box<TraversalRead>),
 }
 
 impl DependencyOperation {
-    /// The class of traffic by which the call is admitted.
+    /// Returns the traffic class under which the call is admitted.
     pub fn traffic_class(&self) -> TrafficClass {
         match self {
             DependencyOperation::WaitingJob { .. } => TrafficClass::WaitingRecord,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// The term that was a condition of the transaction, if there was one.
+    /// Returns the leadership term that a commit of this operation is conditional on, if any.
     pub fn leadership_condition(&self) -> Option<LeadershipTerm> {
         match self {
             DependencyOperation::WaitingJob { leadership, .. } => Some(*leadership),
@@ -49,62 +49,62 @@
     }
 }
 
-/// What is written or read of a waiting job's record.
+/// A write or read of a waiting job's record.
 #[derive(Debug)]
 pub(in crate::coordination) enum WaitingRecordOperation {
-    /// Writes the ordinary record of a job all of whose prerequisites are done.
+    /// Replaces the record by that of a runnable job, because all prerequisites are done.
     Release(Box<LiveRecord>),
-    /// Writes the final record of a job that is cancelled or withdrawn.
+    /// Replaces the record by a final record, because the job is cancelled or withdrawn.
     End(EndRecord),
-    /// Reads the live record, since it is not known what became of a write.
+    /// Reads the live record, because the outcome of a write is unknown.
     ReadLive,
-    /// Reads the final record, since there is no live record.
+    /// Reads the final record, because there is no live record.
     ReadFinal,
 }
 
-/// A read of some of the prerequisites of a job that is being loaded.
+/// A read of a part record of a job that is being loaded.
 pub(in crate::coordination) struct PartRead {
-    /// The shard that the job belongs to, and the leadership term in which the job is loaded.
+    /// Shard that the job belongs to, and leadership term in which the job is loaded.
     pub(super) leadership: LeadershipTerm,
-    /// The job's record, with the prerequisites that were read so far.
+    /// Live record of the job, with the prerequisites that were read so far.
     pub(super) found: VersionedRecord,
-    /// The number of the part that is being read.
+    /// Number of the part that is being read, beginning with 0.
     pub(super) part: u32,
 }
 
-/// A check that all prerequisites of a submitted job were accepted, one after the other.
+/// A check that all prerequisites of a submitted job were accepted. The prerequisites are checked one after the other.
 pub(in crate::coordination) struct PrerequisiteCheck {
-    /// What was submitted.
+    /// Submission that is accepted if the check succeeds.
     pub(super) submission: Submission,
-    /// The prerequisites that still have to be checked, the one whose record is being read last.
+    /// Prerequisites that still have to be checked. The record of the last one is being read.
     pub(super) unchecked: Vec<JobId>,
-    /// Which of its records is being read.
+    /// Kind of the record that is being read.
     pub(super) reading: JobRecordKind,
 }
 
-/// A search through the records for a cancelled job among all that a waiting job depends on, directly or through other
-/// jobs. A controller answers polls in this way that does not have all of these jobs in memory.
+/// A search through the records for a cancelled job among the direct and indirect prerequisites of a waiting job. A
+/// controller answers a poll in this way if it does not have all of these jobs in memory.
 pub(in crate::coordination) struct DependencyTraversal {
-    /// Who waits for the reply.
+    /// Requester that waits for the reply.
     pub(super) requester: Requester,
-    /// The job that was polled.
+    /// Job that was polled.
     pub(super) job: JobId,
-    /// The prerequisites that its record names.
+    /// Prerequisites named by the record of the polled job.
     pub(super) prerequisites: Vec<JobId>,
-    /// Jobs that still have to be looked at.
+    /// Jobs that still have to be visited.
     pub(super) unvisited: Vec<JobId>,
-    /// All jobs that were ever put there: each is looked at once.
+    /// All jobs ever added to `unvisited`, so that each of them is added only once.
     pub(super) seen: HashSet<JobId>,
-    /// How many records were read.
+    /// Number of records that were read.
     pub(super) read_count: u32,
 }
 
-/// A read of one record in the course of a dependency traversal.
+/// A read of one record during a dependency traversal.
 pub(in crate::coordination) struct TraversalRead {
-    /// The traversal that goes on with the answer.
+    /// Traversal that continues with the answer.
     pub(super) traversal: DependencyTraversal,
-    /// The job whose record is read.
+    /// Job whose record is read.
     pub(super) job: JobId,
-    /// Which of its records is read.
+    /// Kind of the record that is read.
     pub(super) reading: JobRecordKind,
 }
--- a/src/coordination/dependencies/prerequisite_check.rs
+++ b/src/coordination/dependencies/prerequisite_check.rs
@@ -1,4 +1,4 @@
-//! Checking that all prerequisites of a new job were accepted.
+//! Check that all prerequisites of a new job were accepted.
 
 use super::super::controller::Controller;
 use super::super::job_record_reads::{JobRecordAnswer, JobRecordKind};
@@ -9,19 +9,19 @@
 use crate::protocol::state::StateResult;
 use crate::protocol::{BusyReason, Reply};
 
-/// What the memory of this node shows of a prerequisite.
+/// State of a prerequisite according to the memory of this node.
 enum KnownPrerequisite {
-    /// It was accepted and can be waited for.
+    /// An accepted job that other jobs can wait for.
     Accepted,
-    /// It is a service, which is never done.
+    /// A service, which is never done.
     Service,
-    /// It is not in memory, so its record has to be read.
+    /// A job that is not in memory, so that its record has to be read.
     NotInMemory,
 }
 
 impl Controller {
-    /// Checks that all prerequisites of a submitted job were accepted and none is a service, and then accepts the job.
-    /// Prerequisites that are known to be done are left out.
+    /// Checks that all prerequisites of a submitted job were accepted and that none is a service, and then accepts the
+    /// job without the prerequisites that are known to be done.
     pub(in crate::coordination) fn check_prerequisites(&mut self, mut submission: Submission) {
         if submission.spec.prerequisites.contains(&submission.spec.id) {
             return self.refuse_submission(submission, "awaits: it names the job itself");
@@ -41,7 +41,7 @@
         self.check_next(PrerequisiteCheck { submission, unchecked, reading: JobRecordKind::Live });
     }
 
-    /// What is known of a prerequisite without reading its record.
+    /// Returns the state of a prerequisite as far as it is known without reading the records.
     fn known_prerequisite(&self, prerequisite: &JobId) -> KnownPrerequisite {
         if self.directory.has_ended(prerequisite) {
             return KnownPrerequisite::Accepted;
@@ -55,18 +55,18 @@
         }
     }
 
-    /// Leaves out prerequisites that are known to be done.
+    /// Removes the prerequisites that are known to be done.
     fn remove_done_prerequisites(&self, spec: &mut JobSpec) {
         let is_done = |job: &JobId| self.directory.end_of(job).is_some_and(|end| end.state == FinalState::Done);
         spec.prerequisites.retain(|prerequisite| !is_done(prerequisite));
     }
 
-    /// Refuses the submission for good, unless the job was accepted before.
+    /// Refuses a submission permanently, unless its job was accepted before.
     fn refuse_submission(&mut self, submission: Submission, reason: &str) {
         self.refuse_unless_accepted(submission.requester, submission.spec.id, Reply::error(422, reason));
     }
 
-    /// Reads a record of the next prerequisite, or accepts the job if all were checked.
+    /// Reads a record of the next prerequisite, or accepts the job if all prerequisites were checked.
     fn check_next(&mut self, mut check: PrerequisiteCheck) {
         let Some(prerequisite) = check.unchecked.last() else {
             self.remove_done_prerequisites(&mut check.submission.spec);
@@ -107,7 +107,7 @@
     }
 }
 
-/// Why a job can't wait for a service.
+/// Returns the error text for a prerequisite that is a service.
 fn never_done(prerequisite: &JobId) -> String {
     format!("awaits: {prerequisite} is a service and is never done")
 }
--- a/src/coordination/dependencies/prerequisite_ends.rs
+++ b/src/coordination/dependencies/prerequisite_ends.rs
@@ -1,4 +1,4 @@
-//! Learning how prerequisites have ended.
+//! Ends of prerequisites: applying them to the dependents, and finding those of prerequisites that are not in memory.
 
 use super::super::controller::Controller;
 use super::operations::DependencyOperation;
@@ -11,8 +11,8 @@
 use crate::storage::keys;
 
 impl Controller {
-    /// Notes how a job has ended that others may depend on. All shards of this node take it into account; the leaders
-    /// of other shards find it in the records.
+    /// Applies the durable end of a job to its dependents in all shards of this node. Leaders of other shards find the
+    /// end in the records.
     pub(in crate::coordination) fn prerequisite_ended(&mut self, id: &JobId, state: FinalState) {
         let mut shards_with_due = Vec::new();
         for shard in self.shards.values_mut() {
@@ -26,7 +26,8 @@
         }
     }
 
-    /// Finds out how prerequisites have ended that are not in the memory of the shard.
+    /// Looks for the ends of prerequisites that are not in the memory of the shard, in the directory of this node and,
+    /// if the rate limits admit it, in the records.
     pub(super) fn find_prerequisite_ends(&mut self, shard_id: ShardId) {
         let now = self.now;
         self.use_known_ends(shard_id);
@@ -38,7 +39,7 @@
         }
     }
 
-    /// Applies the ends of prerequisites that this node has learned of in another way.
+    /// Applies the ends of unknown prerequisites that are in the directory of this node.
     fn use_known_ends(&mut self, shard_id: ShardId) {
         let Some(shard) = self.shards.get(&shard_id) else { return };
         let has_ended = |id: &&JobId| self.directory.has_ended(id);
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Lists final records from that of the given job on.
+    /// Lists final records, beginning with that of the given job.
     fn list_final_records(&mut self, shard_id: ShardId, from: &JobId) {
         let Some(leadership) = self.shards.get(&shard_id).map(Shard::leadership_term) else { return };
         let after = Some(last_key_before(from));
@@ -58,7 +59,7 @@
         self.call_state(request, DependencyOperation::ListFinalRecords { leadership });
     }
 
-    /// Handles a page of final records.
+    /// Handles the answer to the listing of a page of final records.
     pub(super) fn final_records_listed(&mut self, leadership: LeadershipTerm, answer: StateResult) {
         let shard_id = leadership.shard;
         let now = self.now;
@@ -79,8 +80,8 @@
     }
 }
 
-/// A key after which a list begins with the final record of the given job: the job's own key without its last
-/// character. No other key lies in between, since no job's id is the beginning of another's but for the last digit.
+/// Returns a key after which a listing reaches the final record of the given job: the key of that record without its
+/// last character. Among job ids of the same length, only those that differ in the last digit can come first.
 fn last_key_before(job: &JobId) -> String {
     let mut key = keys::end_key(job);
     key.pop();
--- a/src/coordination/dependencies/prerequisite_parts.rs
+++ b/src/coordination/dependencies/prerequisite_parts.rs
@@ -1,4 +1,4 @@
-//! Prerequisites that have no room in their job's record and are kept in records of their own, called parts.
+//! Part records: they hold the prerequisites of a job that do not fit into the job's live record.
 
 use super::super::controller::Controller;
 use super::super::job_record_reads::VersionedRecord;
@@ -12,7 +12,7 @@
 use crate::storage::records::PartRecord;
 
 impl Controller {
-    /// Begins to read the prerequisites of loaded jobs that are kept in parts, one part after the other.
+    /// Begins to read the part records of loaded jobs. The parts of a job are read one after the other.
     pub(super) fn read_parts(&mut self, shard_id: ShardId) {
         let Some(shard) = self.shards.get_mut(&shard_id) else { return };
         let leadership = shard.leadership_term();
@@ -21,13 +21,13 @@
         }
     }
 
-    /// Reads one part.
+    /// Sends the read of one part record.
     fn read_part(&mut self, read: PartRead) {
         let request = StateCall::Get(keys::part_key(&read.found.record.job.id, read.part));
         self.call_state(request, DependencyOperation::ReadPart(Box::new(read)));
     }
 
-    /// Handles the answer to the read of a part.
+    /// Handles the answer to the read of a part record.
     pub(super) fn part_read(&mut self, read: PartRead, answer: StateResult) {
         let PartRead { leadership, found: VersionedRecord { mut record, version }, part } = read;
         let Some(shard) = self.shard_in_term(leadership) else { return };
@@ -43,8 +43,8 @@
         shard.add_waiting_job(record, version);
     }
 
-    /// Writes the parts of a new job, as many at a time as fit into a transaction, and then the job's record. If the
-    /// job is submitted again, the same parts are written again.
+    /// Writes the part records of a new job, as many at a time as fit into a transaction, and then its live record. If
+    /// the job is submitted again, the same parts are written again.
     pub(in crate::coordination) fn write_parts(&mut self, mut new_job: NewJob) {
         if !new_job.has_unwritten_parts() {
             return self.commit_acceptance(new_job);
@@ -55,7 +55,7 @@
         self.call_state(request, DependencyOperation::WriteParts(Box::new(new_job)));
     }
 
-    /// Handles the answer to a write of parts.
+    /// Handles the answer to a write of part records.
     pub(super) fn parts_written(&mut self, new_job: NewJob, answer: StateResult) {
         match answer {
             Ok(StateAnswer::Committed(_)) => {
@@ -67,7 +67,7 @@
     }
 }
 
-/// The part that an answer brought, if it can be parsed.
+/// Returns the part record in an answer, or `None` if the read failed or the record can't be parsed.
 fn parse_part(answer: StateResult) -> Option<PartRecord> {
     match answer {
         Ok(StateAnswer::Found(entry)) => serde_json::from_value(entry.value).ok(),
--- a/src/coordination/dependencies/requests.rs
+++ b/src/coordination/dependencies/requests.rs
@@ -10,7 +10,7 @@
 use crate::protocol::{BusyReason, Reply};
 
 impl Controller {
-    /// Answers a poll of a job that waits.
+    /// Answers a poll of a waiting job of a shard led by this node.
     pub(in crate::coordination) fn poll_waiting_job(&mut self, requester: Requester, shard_id: ShardId, id: JobId) {
         let Some(shard) = self.shards.get(&shard_id) else {
             return self.reply(requester, Reply::busy(BusyReason::NotLeader));
@@ -30,7 +30,7 @@
         self.reply(requester, reply);
     }
 
-    /// Cancels a job that waits. The reply follows once the final record is durable.
+    /// Cancels a waiting job. The reply is sent once the final record is durable.
     pub(in crate::coordination) fn cancel_waiting_job(&mut self, requester: Requester, shard_id: ShardId, id: JobId) {
         let now = self.now;
         let Some(shard) = self.shards.get_mut(&shard_id) else { return };
--- a/src/coordination/dependencies/traversal.rs
+++ b/src/coordination/dependencies/traversal.rs
@@ -1,5 +1,5 @@
-//! Answering a poll of a waiting job from the records alone: a dependency traversal goes from prerequisite to
-//! prerequisite and looks for one that was cancelled.
+//! Dependency traversal: answers a poll of a waiting job from the records alone, by following the records from
+//! prerequisite to prerequisite in search of one that was cancelled.
 
 use super::super::controller::Controller;
 use super::super::events::Requester;
@@ -14,11 +14,11 @@
 use crate::protocol::{BusyReason, Reply};
 use crate::storage::records::LiveRecord;
 
-/// How many records are read for one poll, at the most.
+/// Maximum number of records that are read for one poll.
 const MAX_READS: u32 = 64;
 
 impl DependencyTraversal {
-    /// The traversal that begins at a waiting job.
+    /// Creates the traversal that begins at the job with the given live record.
     fn new(requester: Requester, record: &LiveRecord) -> DependencyTraversal {
         let prerequisites = record.job.prerequisites.clone();
         DependencyTraversal {
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Adds jobs that were not seen before to those that have to be looked at.
+    /// Adds those of the jobs that were not seen before to the jobs that have to be visited.
     fn add_unseen(&mut self, jobs: Vec<JobId>) {
         let unseen = jobs.into_iter().filter(|job| self.seen.insert(job.clone()));
         self.unvisited.extend(unseen);
@@ -39,8 +39,8 @@
 }
 
 impl Controller {
-    /// Answers a poll of a job from the records alone, all of them read after the poll came. `record` is the job's
-    /// live record.
+    /// Answers a poll of a job from records that are all read after the poll arrived. `record` is the live record of
+    /// the job.
     pub(in crate::coordination) fn traverse_dependencies(&mut self, requester: Requester, record: &LiveRecord) {
         if record.parts > 0 {
             return self.reply(requester, Reply::busy(BusyReason::LeaderMustAnswer));
@@ -48,7 +48,7 @@
         self.continue_traversal(DependencyTraversal::new(requester, record));
     }
 
-    /// Goes on to the next job that is not known to be done, or answers if there is none.
+    /// Visits the next job that is not known to be done. Answers the poll if that job is cancelled or no job is left.
     fn continue_traversal(&mut self, mut traversal: DependencyTraversal) {
         while let Some(job) = traversal.unvisited.pop() {
             match self.directory.end_of(&job).map(|end| end.state) {
@@ -65,7 +65,7 @@
         self.finish_traversal(traversal);
     }
 
-    /// None of the jobs was cancelled: the polled one waits.
+    /// Answers the poll after no cancelled job was found: the polled job waits.
     fn finish_traversal(&mut self, traversal: DependencyTraversal) {
         let not_ended = traversal.prerequisites.iter().filter(|job| !self.directory.has_ended(job));
         let reply = if traversal.prerequisites.is_empty() {
@@ -76,7 +76,8 @@
         self.reply(traversal.requester, reply);
     }
 
-    /// Reads a record of the next job.
+    /// Sends a read of a record, or replies "busy" if the traversal has read too many records or the rate limits admit
+    /// no read.
     fn read_in_traversal(&mut self, mut read: TraversalRead) {
         read.traversal.read_count += 1;
         if read.traversal.read_count > MAX_READS || !self.admits(TrafficClass::RecordRead) {
@@ -86,14 +87,14 @@
         self.call_state(request, DependencyOperation::Traverse(Box::new(read)));
     }
 
-    /// Handles the answer to the read of a record in the course of a traversal.
+    /// Handles the answer to the read of a record during a traversal.
     pub(super) fn traversal_answered(&mut self, read: TraversalRead, answer: StateResult) {
         let TraversalRead { mut traversal, job, reading } = read;
         match reading.interpret(answer) {
             JobRecordAnswer::Live(found) => self.live_record_traversed(traversal, found.record),
             JobRecordAnswer::Final(end) => {
                 self.directory.record_end(job.clone(), end);
-                // The job is looked at again, now that its end is known.
+                // The job is visited again, now that its end is in the directory.
                 traversal.unvisited.push(job);
                 self.continue_traversal(traversal);
             }
@@ -107,12 +108,12 @@
         }
     }
 
-    /// A job on the way has not ended: what it depends on has to be looked at too.
+    /// Continues the traversal after visiting a job that has not ended: its prerequisites have to be visited too.
     fn live_record_traversed(&mut self, mut traversal: DependencyTraversal, record: LiveRecord) {
         if record.parts > 0 {
             return self.reply(traversal.requester, Reply::busy(BusyReason::TooManyPrerequisites));
         }
-        // All prerequisites of a job that does not wait any more are done.
+        // All prerequisites of a job that no longer waits are done.
         if record.is_waiting() {
             traversal.add_unseen(record.job.prerequisites);
         }
--- a/src/coordination/dependencies/waiting_records.rs
+++ b/src/coordination/dependencies/waiting_records.rs
@@ -16,7 +16,7 @@
 use crate::storage::records::{EndRecord, to_value};
 
 impl Controller {
-    /// Writes or reads the records of waiting jobs that are due, as far as the rate limits allow.
+    /// Writes or reads the due records of waiting jobs, as far as the rate limits allow.
     pub(super) fn write_due_records(&mut self, shard_id: ShardId) {
         let (now, retry_pause) = (self.now, self.settings.properties.progress_interval);
         let Some(shard) = self.shards.get(&shard_id).filter(|shard| shard.dependencies.has_due()) else { return };
@@ -30,7 +30,8 @@
         }
     }
 
-    /// Whether the rate limits leave room for a record. What can wait must not delay anything else.
+    /// Returns `true` if the rate limits admit a write. Deferrable writes are admitted under the class of background
+    /// writes, so that they do not delay other calls.
     fn limits_allow_write(&mut self, urgency: WriteUrgency) -> bool {
         self.admits(match urgency {
             WriteUrgency::Awaited => TrafficClass::FinalRecord,
@@ -38,7 +39,8 @@
         })
     }
 
-    /// Writes what has become of a waiting job, or reads its record if that is not known.
+    /// Performs the next step for the record of a waiting job: writes it, or reads it if the outcome of a write is
+    /// unknown.
     pub(super) fn write_waiting_record(&mut self, shard_id: ShardId, id: &JobId) {
         if !self.may_decide(shard_id) {
             return;
@@ -59,7 +61,7 @@
         }
     }
 
-    /// Writes the final record of a job that is cancelled, or withdrawn with its prerequisite `cause`.
+    /// Writes the final record of a job that is cancelled, or withdrawn because its prerequisite `cause` was cancelled.
     fn write_cancellation(&mut self, shard_id: ShardId, id: &JobId, cause: Option<JobId>) {
         let now = self.now;
         let Some(shard) = self.shards.get(&shard_id) else { return };
@@ -75,7 +77,7 @@
         self.call_for_waiting_job(shard_id, id, request, WaitingRecordOperation::End(end));
     }
 
-    /// Writes the ordinary record of a job all of whose prerequisites are done.
+    /// Releases a job all of whose prerequisites are done, by writing the record of a runnable job.
     fn write_release(&mut self, shard_id: ShardId, id: &JobId) {
         let Some(shard) = self.shards.get(&shard_id) else { return };
         let Some(job) = shard.dependencies.waiting_job(id) else { return };
@@ -103,12 +105,14 @@
         self.call_state(request, DependencyOperation::WaitingJob { leadership, job: id.clone(), operation });
     }
 
-    /// Notes that a job's cancellation is being written and may be read by other controllers from now on.
+    /// Marks the cancellation of a job as in doubt in all shards of this node, since other controllers may read it from
+    /// now on.
     pub(in crate::coordination) fn mark_cancellation_in_doubt(&mut self, id: &JobId) {
         self.shards.values_mut().for_each(|shard| shard.dependencies.mark_in_doubt(id));
     }
 
-    /// Notes that no write of a job's cancellation can be executed any more.
+    /// Ends the doubt about a job's cancellation in all shards of this node, once no write of it can be executed any
+    /// more.
     pub(in crate::coordination) fn clear_cancellation_doubt(&mut self, id: &JobId) {
         self.shards.values_mut().for_each(|shard| shard.dependencies.clear_doubt(id));
     }
@@ -149,21 +153,21 @@
             JobRecordAnswer::Live(found) if found.record.is_waiting() => {
                 self.job_still_waits(shard_id, id, found.version);
             }
-            // The answer to the release was lost. None of the job's tasks has been started.
+            // The release was written, but its answer was lost. None of the job's tasks has been started.
             JobRecordAnswer::Live(found) => self.job_released(shard_id, *found),
             JobRecordAnswer::NotLive => {
                 let request = JobRecordKind::Final.request(id);
                 self.call_for_waiting_job(shard_id, id, request, WaitingRecordOperation::ReadFinal);
             }
             JobRecordAnswer::Unreadable(error) => {
-                log::error!("record of job {id} can't be read: {error}");
+                log::error!("live record of waiting job {id} can't be parsed, reading it again after a pause: {error}");
                 self.waiting_call_failed(shard_id, id);
             }
             _ => self.waiting_outcome_lost(shard_id, id),
         }
     }
 
-    /// Handles the answer to a read of the final record, which was made since there is no live record.
+    /// Handles the answer to a read of the final record, which follows when there is no live record.
     fn final_record_read(&mut self, shard_id: ShardId, id: &JobId, answer: StateResult) {
         match JobRecordKind::Final.interpret(answer) {
             JobRecordAnswer::Final(end) => self.waiting_job_ended(shard_id, id, end),
@@ -172,7 +176,7 @@
         }
     }
 
-    /// The live record was read after a write without an answer, and the job still waits.
+    /// Handles a live record that was read after a write without an answer and still shows a waiting job.
     fn job_still_waits(&mut self, shard_id: ShardId, id: &JobId, version: Revision) {
         let Some(shard) = self.shards.get_mut(&shard_id) else { return };
         let Some(job) = shard.dependencies.waiting_job_mut(id) else { return };
@@ -182,7 +186,7 @@
         }
     }
 
-    /// The record is there but cannot be parsed: it is read again after a pause.
+    /// Schedules another read of a record that exists but cannot be parsed. The read is sent after a pause.
     fn waiting_call_failed(&mut self, shard_id: ShardId, id: &JobId) {
         let now = self.now;
         let Some(shard) = self.shards.get_mut(&shard_id) else { return };
@@ -191,7 +195,7 @@
         }
     }
 
-    /// A write was refused, and so not executed.
+    /// Handles a write that was refused and therefore not executed.
     fn waiting_write_refused(&mut self, shard_id: ShardId, id: &JobId) {
         let now = self.now;
         let Some(shard) = self.shards.get_mut(&shard_id) else { return };
@@ -204,7 +208,7 @@
         self.ask_to_retry(requesters);
     }
 
-    /// A write of the final record had no answer and may still be executed.
+    /// Handles a write of the final record that had no conclusive answer and may still be executed.
     fn final_write_lost(&mut self, shard_id: ShardId, id: &JobId) {
         let Some(shard) = self.shards.get_mut(&shard_id) else { return };
         if let Some(job) = shard.dependencies.waiting_job_mut(id) {
@@ -213,7 +217,7 @@
         self.waiting_outcome_lost(shard_id, id);
     }
 
-    /// It is not known how the record stands: it has to be read.
+    /// Schedules a read of a record whose state is unknown.
     fn waiting_outcome_lost(&mut self, shard_id: ShardId, id: &JobId) {
         let now = self.now;
         let Some(shard) = self.shards.get_mut(&shard_id) else { return };
@@ -224,12 +228,12 @@
         self.ask_to_retry(requesters);
     }
 
-    /// Tells users to repeat their cancellations.
+    /// Replies "busy" to requesters whose cancellations could not be confirmed, so that they retry.
     fn ask_to_retry(&mut self, requesters: Vec<Requester>) {
         self.reply_to_all(requesters, Reply::busy(BusyReason::StateUnreachable));
     }
 
-    /// A job does not wait any more, durably: it takes its place in the queue.
+    /// Handles the durable release of a job: the job no longer waits and joins the shard's queue.
     fn job_released(&mut self, shard_id: ShardId, released: VersionedRecord) {
         let now = self.now;
         let VersionedRecord { record, version } = released;
@@ -240,18 +244,18 @@
         shard.update_inherited_urgency();
         let Some(mut waiting) = waiting else { return };
         if waiting.is_cancelled() {
-            // The user asked to cancel the job while the release was being written.
+            // The user has asked to cancel the job while the release was being written.
             for requester in waiting.take_cancel_requesters() {
                 self.cancel_here(requester, shard_id, id.clone());
             }
         }
     }
 
-    /// The end of a job that waited is durable.
+    /// Handles the durable end of a waiting job.
     fn waiting_job_ended(&mut self, shard_id: ShardId, id: &JobId, end: EndRecord) {
         let Some(shard) = self.shards.get_mut(&shard_id) else { return };
         let waiting = shard.dependencies.remove_waiting_job(id);
-        log::info!("job {id} {:?} before any of its tasks was started", end.state);
+        log::info!("waiting job {id} ended as {:?} before any of its tasks was started", end.state);
         let state = end.state;
         self.directory.forget_job_shard(id);
         self.directory.record_end(id.clone(), end);
--- a/src/coordination/user_requests/acceptance.rs
+++ b/src/coordination/user_requests/acceptance.rs
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Answers a requester whose submitted job has been accepted with the job's current state.
+    /// Answers a requester with the current state of its submitted job, which has been accepted.
     fn poll_accepted(&mut self, requester: Requester, shard_id: ShardId, id: &JobId) {
         if self.shards.get(&shard_id).is_some_and(|shard| shard.has(id)) {
             self.poll_here(requester, shard_id, id.clone());
--- a/src/coordination/waiting_jobs/final_record_scan.rs
+++ b/src/coordination/waiting_jobs/final_record_scan.rs
@@ -1,7 +1,7 @@
-//! Listing final records to learn how prerequisites have ended that are not in memory.
+//! Scan of the final records for prerequisites that are not in memory, to find out which of them have ended.
 //!
-//! The records are listed in the order of their keys from the first wanted one on, so that thousands of prerequisites
-//! take a few pages.
+//! The records are listed in the order of their keys, beginning with the first wanted one. Thousands of prerequisites
+//! thus need only a few pages instead of one read each.
 
 use crate::model::JobId;
 use crate::protocol::state::Entry;
@@ -9,48 +9,50 @@
 use crate::storage::records::EndRecord;
 use crate::time::{Span, Time};
 
-/// How long after a scan the next one begins.
+/// Minimum time between the end of a scan and the start of the next one.
 const SCAN_INTERVAL: Span = Span::millis(1000);
 
-/// The scan of a shard's unknown prerequisites, one at a time.
+/// State of the scan for the final records of a shard's unknown prerequisites. At most one scan is in progress.
 pub(in crate::coordination) enum FinalRecordScan {
-    /// No scan is in progress. `finished_at` is when the last one ended, unless the next one should not wait.
+    /// No scan is in progress. `finished_at` is the time at which the last one ended, or `None` if the next one may
+    /// start at once.
     Idle { finished_at: Option<Time> },
-    /// Final records are being listed. `wanted` are the prerequisites whose keys were not listed yet, the next one last.
+    /// Final records are being listed. `wanted` holds the prerequisites whose keys were not covered yet, in descending
+    /// order.
     Listing { wanted: Vec<JobId> },
 }
 
 /// A prerequisite whose final record was found.
 pub(in crate::coordination) struct EndedPrerequisite {
-    /// The prerequisite.
+    /// Id of the prerequisite.
     pub job: JobId,
-    /// How it has ended.
+    /// Final record of the prerequisite.
     pub end: EndRecord,
 }
 
-/// What came of a listed page.
+/// The result of scanning one listed page.
 #[derive(Default)]
 pub(in crate::coordination) struct ScannedPage {
-    /// The wanted prerequisites whose final records are on the page.
+    /// Wanted prerequisites whose final records are on the page.
     pub ended: Vec<EndedPrerequisite>,
-    /// The job from whose key on the next page has to be listed, if the scan is not complete.
+    /// Job at whose key the next page has to begin. `None` if the scan is complete.
     pub next: Option<JobId>,
 }
 
 impl FinalRecordScan {
-    /// No scan was made yet.
+    /// Creates an idle scan that may start at once.
     pub fn new() -> FinalRecordScan {
         FinalRecordScan::Idle { finished_at: None }
     }
 
-    /// Has the next scan begin without a pause.
+    /// Allows the next scan to start at once. A scan that is in progress is not affected.
     pub fn request_soon(&mut self) {
         if let FinalRecordScan::Idle { finished_at } = self {
             *finished_at = None;
         }
     }
 
-    /// Whether a scan may begin.
+    /// Returns `true` if a scan may start.
     pub fn may_start(&self, now: Time) -> bool {
         match self {
             FinalRecordScan::Idle { finished_at } => finished_at.is_none_or(|at| now.since(at) >= SCAN_INTERVAL),
@@ -58,7 +60,8 @@
         }
     }
 
-    /// Begins a scan for the given prerequisites. Returns the job from whose key on records have to be listed.
+    /// Starts a scan for the given prerequisites. Returns the job at whose key the listing has to begin, or `None` if
+    /// there are no prerequisites to look for.
     pub fn start(&mut self, mut wanted: Vec<JobId>) -> Option<JobId> {
         wanted.sort();
         wanted.reverse();
@@ -67,7 +70,7 @@
         Some(first)
     }
 
-    /// Looks for wanted records on a listed page. `more` says that there are records after the page.
+    /// Looks up the wanted prerequisites on a listed page. `more` is `true` if there are records after the page.
     pub fn page_listed(&mut self, entries: &[Entry], more: bool, now: Time) -> ScannedPage {
         let FinalRecordScan::Listing { wanted } = self else { return ScannedPage::default() };
         let last_listed = entries.last().filter(|_| more).map(|entry| keys::job_of_end(&entry.key));
@@ -83,16 +86,20 @@
         ScannedPage { ended, next }
     }
 
-    /// Ends the scan, whether it is complete or not.
+    /// Ends the scan, complete or not.
     pub fn stop(&mut self, now: Time) {
         *self = FinalRecordScan::Idle { finished_at: Some(now) };
     }
 }
 
-/// The final record of a job among entries in the order of their keys.
+/// Returns the final record of a job, if it is among `entries` and can be parsed. `entries` are sorted by key.
 fn find_end(entries: &[Entry], job: &JobId) -> Option<EndRecord> {
     let key = keys::end_key(job);
     let position = entries.binary_search_by(|entry| entry.key.as_str().cmp(&key)).ok()?;
     let record = serde_json::from_value(entries[position].value.clone());
-    record.inspect_err(|error| log::error!("final record of {job} can't be read: {error}")).ok()
+    record
+        .inspect_err(|error| {
+            log::error!("final record of prerequisite {job} can't be parsed, so its dependents keep waiting: {error}");
+        })
+        .ok()
 }
--- a/src/coordination/waiting_jobs/mod.rs
+++ b/src/coordination/waiting_jobs/mod.rs
@@ -1,4 +1,4 @@
-//! The waiting jobs of one shard and what they wait for.
+//! The waiting jobs of one shard, their dependencies and the state of their records.
 
 mod final_record_scan;
 mod partially_loaded;
@@ -19,28 +19,29 @@
 use std::sync::Arc;
 use waiting_job::WaitingJob;
 
-/// The jobs of one shard that wait for prerequisites, and what they wait for.
+/// The jobs of one shard that wait for prerequisites, with their dependency graph.
 pub(in crate::coordination) struct JobDependencies {
-    /// Which waiting job depends on which jobs.
+    /// Dependencies between the waiting jobs and their prerequisites.
     graph: DependencyGraph,
-    /// The waiting jobs.
+    /// Waiting jobs all of whose prerequisites have been loaded.
     jobs: HashMap<JobId, WaitingJob>,
-    /// Jobs whose prerequisites still have to be read from records of their own.
+    /// Waiting jobs whose prerequisites still have to be read from part records.
     partially_loaded: PartiallyLoadedJobs,
-    /// Keys of records of prerequisites whose jobs do not wait any more.
+    /// Keys of the part records of jobs that no longer wait.
     obsolete_parts: Vec<String>,
     /// Waiting jobs whose records have to be written or read.
     due: BTreeSet<JobId>,
-    /// Jobs whose cancellation is being written: other controllers may have read it.
+    /// Jobs whose cancellation is being written, so that other controllers may already have read it.
     cancellations_in_doubt: HashSet<JobId>,
-    /// By how much the deadline of a class may be missed and the job still be of use.
+    /// Factor by which the deadline of a class may be exceeded while the job's result is still of use.
     late_factors: Arc<BTreeMap<Name, f64>>,
-    /// The search for the final records of prerequisites that are not in memory.
+    /// Scan for the final records of prerequisites that are not in memory.
     scan: FinalRecordScan,
 }
 
 impl JobDependencies {
-    /// No jobs wait. `late_factors` says by how much the deadline of a class may be missed and the job still be of use.
+    /// Creates an empty set of waiting jobs. `late_factors` holds, for each class, the factor by which the deadline may
+    /// be exceeded while the job's result is still of use.
     pub fn new(late_factors: Arc<BTreeMap<Name, f64>>) -> JobDependencies {
         JobDependencies {
             graph: DependencyGraph::default(),
@@ -54,22 +55,22 @@
         }
     }
 
-    /// Forgets everything that was read from records.
+    /// Discards everything that was loaded from records.
     pub fn clear(&mut self) {
         *self = JobDependencies::new(self.late_factors.clone());
     }
 
-    /// Whether a job waits here.
+    /// Returns `true` if a job waits in this shard, even if its prerequisites are still being loaded.
     pub fn contains(&self, job: &JobId) -> bool {
         self.jobs.contains_key(job) || self.partially_loaded.contains(job)
     }
 
-    /// How many jobs wait and have all their prerequisites in memory.
+    /// Returns the number of waiting jobs, without those whose prerequisites are still being loaded.
     pub fn len(&self) -> usize {
         self.jobs.len()
     }
 
-    /// The urgency that a job's owner gave it.
+    /// Returns the urgency that follows from a job's own specification.
     pub fn urgency(&self, spec: &JobSpec, accepted_ms: u64) -> Urgency {
         let late_factor = self.late_factors.get(&spec.class).copied().unwrap_or(1.0).max(1.0);
         let deadline_times =
@@ -82,22 +83,24 @@
         }
     }
 
-    /// How urgent a job is for its own sake and for that of the jobs that depend on it.
+    /// Returns the urgency of a job combined with the urgency inherited from the jobs that depend on it, or `None` if
+    /// the job neither waits nor has dependents.
     pub fn inherited_urgency(&self, job: &JobId) -> Option<Urgency> {
         self.graph.inherited_urgency(job)
     }
 
-    /// Returns the jobs whose inherited urgency has changed since the last call.
+    /// Returns the jobs whose inherited urgency has changed since the previous call.
     pub(in crate::coordination) fn take_changed_urgencies(&mut self) -> HashSet<JobId> {
         self.graph.take_changed()
     }
 
-    /// Notes that a job is in memory and waits for nothing.
+    /// Marks a job as loaded and not waiting for any prerequisite.
     pub fn mark_live(&mut self, job: &JobId, urgency: Urgency) {
         self.graph.mark_runnable(job, urgency);
     }
 
-    /// Adds a job that waits.
+    /// Adds a waiting job. If its prerequisites are kept in part records that were not read yet, the job joins the
+    /// graph only once they are read.
     pub(in crate::coordination) fn add_waiting_job(&mut self, record: LiveRecord, version: Revision) {
         if record.parts > 0 && record.job.prerequisites.is_empty() {
             return self.partially_loaded.insert(record, version);
@@ -113,7 +116,7 @@
         self.scan.request_soon();
     }
 
-    /// Removes a job that does not wait any more. The records that keep its prerequisites become obsolete.
+    /// Removes a job that no longer waits. Its part records become obsolete.
     pub(in crate::coordination) fn remove_waiting_job(&mut self, job: &JobId) -> Option<WaitingJob> {
         self.due.remove(job);
         let waiting = self.jobs.remove(job)?;
@@ -121,37 +124,39 @@
         Some(waiting)
     }
 
-    /// Takes the key of a record of prerequisites that can be removed.
+    /// Removes and returns the key of an obsolete part record.
     pub fn take_obsolete_part(&mut self) -> Option<String> {
         self.obsolete_parts.pop()
     }
 
-    /// Returns the jobs for which the reading of their prerequisites has to begin, and notes that it has.
+    /// Returns the jobs whose part records have to be read, and marks their reads as in flight.
     pub(in crate::coordination) fn begin_part_reads(&mut self) -> Vec<VersionedRecord> {
         self.partially_loaded.begin_reads()
     }
 
-    /// The prerequisites of a job could not be read: the next round begins again with the first part.
+    /// Handles the failure to read a part record of a job. The next call of `begin_part_reads` returns the job again,
+    /// and its parts are read from the first one on.
     pub(in crate::coordination) fn part_read_failed(&mut self, job: &JobId) {
         self.partially_loaded.read_failed(job);
     }
 
-    /// All prerequisites of a job were read.
+    /// Ends the loading of a job whose part records were all read.
     pub(in crate::coordination) fn parts_complete(&mut self, job: &JobId) {
         self.partially_loaded.remove(job);
     }
 
-    /// A waiting job all of whose prerequisites are in memory.
+    /// Returns a waiting job, unless its prerequisites are still being loaded.
     pub(in crate::coordination) fn waiting_job(&self, job: &JobId) -> Option<&WaitingJob> {
         self.jobs.get(job)
     }
 
-    /// The same for changes.
+    /// Returns a waiting job for modification, unless its prerequisites are still being loaded.
     pub(in crate::coordination) fn waiting_job_mut(&mut self, job: &JobId) -> Option<&mut WaitingJob> {
         self.jobs.get_mut(job)
     }
 
-    /// Notes that a job has ended, durably.
+    /// Applies the durable end of a job to its dependents: marks the records of those that become ready or are
+    /// withdrawn as due.
     pub(in crate::coordination) fn record_end(&mut self, job: &JobId, state: FinalState) {
         self.cancellations_in_doubt.remove(job);
         let affected = self.graph.record_end(job, state);
@@ -163,23 +168,23 @@
                 }
             }
         }
-        // A cancellation also reaches jobs that are known here only as prerequisites of others.
+        // A cancellation also withdraws jobs that are known to the graph only as prerequisites and have no record here.
         self.due.extend(affected.into_iter().filter(|dependent| self.jobs.contains_key(dependent)));
     }
 
-    /// Notes that a job's cancellation is being written and may be read by other controllers from now on.
+    /// Marks the cancellation of a job as being written. Other controllers may read it from now on.
     pub(in crate::coordination) fn mark_in_doubt(&mut self, job: &JobId) {
         if self.graph.has_dependents(job) {
             self.cancellations_in_doubt.insert(job.clone());
         }
     }
 
-    /// Notes that no write of a job's cancellation can be executed any more.
+    /// Ends the doubt about a job's cancellation, once no write of it can be executed any more.
     pub(in crate::coordination) fn clear_doubt(&mut self, job: &JobId) {
         self.cancellations_in_doubt.remove(job);
     }
 
-    /// The cancelled prerequisite that has withdrawn a job, if there is one.
+    /// Returns the cancelled prerequisite because of which a job is withdrawn, or `None` if the job is not withdrawn.
     pub(in crate::coordination) fn withdrawn_with(&self, job: &JobId) -> Option<JobId> {
         match self.graph.outlook(job, &self.cancellations_in_doubt) {
             Outlook::Withdrawn(cause) => Some(cause),
@@ -187,7 +192,7 @@
         }
     }
 
-    /// What may be reported about a waiting job.
+    /// Returns the status of a waiting job that may be reported to users.
     pub(in crate::coordination) fn status(&self, id: &JobId) -> WaitingStatus {
         let Some(job) = self.jobs.get(id) else { return WaitingStatus::Loading };
         match self.graph.outlook(id, &self.cancellations_in_doubt) {
@@ -199,28 +204,28 @@
         }
     }
 
-    /// The prerequisites of a job that are not done.
+    /// Returns the prerequisites of a job that are not done.
     pub(in crate::coordination) fn open_prerequisites(&self, job: &JobId) -> impl Iterator<Item = &JobId> {
         self.graph.prerequisites(job)
     }
 
-    /// Whether any records have to be written or read.
+    /// Returns `true` if any records have to be written or read.
     pub(in crate::coordination) fn has_due(&self) -> bool {
         !self.due.is_empty()
     }
 
-    /// Has the record of a waiting job written or read.
+    /// Marks the record of a waiting job as due to be written or read.
     pub(in crate::coordination) fn set_due(&mut self, job: JobId) {
         self.due.insert(job);
     }
 
-    /// Notes that there is nothing to write or read for a waiting job.
+    /// Marks the record of a waiting job as not due.
     pub(in crate::coordination) fn clear_due(&mut self, job: &JobId) {
         self.due.remove(job);
     }
 
-    /// The jobs whose records have to be written or read now, in that order. After a failure a job waits for
-    /// `retry_pause`.
+    /// Returns the jobs whose records may be written or read now, in that order. Jobs with a call in flight, and jobs
+    /// whose last call failed less than `retry_pause` ago, are left out.
     pub(in crate::coordination) fn due_jobs(&self, now: Time, retry_pause: Span) -> Vec<JobId> {
         let mut due: Vec<WriteOrder> = self
             .due
@@ -232,7 +237,7 @@
         due.into_iter().map(|order| order.job.clone()).collect()
     }
 
-    /// The place of a waiting job among those whose records are due.
+    /// Returns the sort key of a waiting job among those whose records are due.
     fn write_order<'a>(&self, id: &'a JobId) -> WriteOrder<'a> {
         let user_waits = self.jobs.get(id).is_some_and(WaitingJob::is_outcome_awaited);
         let urgency = self.graph.inherited_urgency(id).unwrap_or_default();
@@ -245,14 +250,14 @@
         }
     }
 
-    /// How soon the record of a waiting job has to be written.
+    /// Returns the urgency of writing the record of a waiting job, or `None` if the job does not wait.
     pub(in crate::coordination) fn write_urgency(&self, id: &JobId) -> Option<WriteUrgency> {
         let job = self.jobs.get(id)?;
         let awaited = job.is_outcome_awaited() || self.graph.is_ready(id);
         Some(if awaited { WriteUrgency::Awaited } else { WriteUrgency::Deferrable })
     }
 
-    /// What has to be done with the record of a waiting job, or `None` while a call is in flight.
+    /// Returns the next step for the record of a waiting job, or `None` while a call is in flight.
     pub(in crate::coordination) fn next_step(&self, id: &JobId) -> Option<RecordStep> {
         let job = self.jobs.get(id).filter(|job| !job.is_call_in_flight())?;
         let cause = self.withdrawn_with(id);
@@ -267,13 +272,13 @@
         })
     }
 
-    /// Prerequisites that are not in memory, so that it is not known whether they have ended.
+    /// Returns the prerequisites that are not in memory, so that it is not known whether they have ended.
     pub(in crate::coordination) fn unknown_prerequisites(&self) -> impl Iterator<Item = &JobId> {
         self.graph.unknown_jobs()
     }
 
-    /// Begins to search for the final records of unknown prerequisites, if it is time to. Returns the job from whose key
-    /// on records have to be listed.
+    /// Starts a scan for the final records of unknown prerequisites, if one may start. Returns the job at whose key the
+    /// listing has to begin, or `None` if there is nothing to list now.
     pub(in crate::coordination) fn begin_scan(&mut self, now: Time) -> Option<JobId> {
         if !self.scan.may_start(now) {
             return None;
@@ -281,12 +286,13 @@
         self.scan.start(self.graph.unknown_jobs().cloned().collect())
     }
 
-    /// Looks for unknown prerequisites on a listed page of final records. `more` says that there are records after it.
+    /// Looks up unknown prerequisites on a listed page of final records. `more` is `true` if there are records after
+    /// the page.
     pub(in crate::coordination) fn page_listed(&mut self, entries: &[Entry], more: bool, now: Time) -> ScannedPage {
         self.scan.page_listed(entries, more, now)
     }
 
-    /// The search ends early, since a page could not be listed.
+    /// Ends the scan early, because a page could not be listed.
     pub(in crate::coordination) fn scan_failed(&mut self, now: Time) {
         self.scan.stop(now);
     }
--- a/src/coordination/waiting_jobs/record_steps.rs
+++ b/src/coordination/waiting_jobs/record_steps.rs
@@ -1,56 +1,59 @@
-//! What has to be done with the records of waiting jobs, in which order and how soon; and what may be reported meanwhile.
+//! Steps of writing and reading the records of waiting jobs, their order and urgency, and the status reported to users
+//! in the meantime.
 
 use crate::model::{JobId, Priority};
 
-/// What has to be done with the record of a waiting job.
+/// The next step for the record of a waiting job.
 pub(in crate::coordination) enum RecordStep {
-    /// Read it, since it is not known what became of a write.
+    /// Reading the record, because the outcome of a write is unknown.
     Read,
-    /// Replace it by a final record: the user has cancelled the job, or its prerequisite `cause` was cancelled.
+    /// Replacing the record by a final record, because the user has cancelled the job or its prerequisite `cause` was
+    /// cancelled.
     End { cause: Option<JobId> },
-    /// Replace it by an ordinary record: all prerequisites are done.
+    /// Replacing the record by that of a runnable job, because all prerequisites are done.
     Release,
-    /// Nothing for now.
+    /// No step for now.
     Wait,
 }
 
-/// How soon the record of a waiting job has to be written.
+/// The urgency of writing the record of a waiting job.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(in crate::coordination) enum WriteUrgency {
-    /// A user waits for it, or tasks can be started once it is written.
+    /// A user waits for the write, or tasks can be started once the record is written.
     Awaited,
-    /// It only repeats what is reported to users already.
+    /// The write may be deferred, since the record only repeats what is reported to users already.
     Deferrable,
 }
 
-/// The order in which due records are written: what users wait for first, then ready jobs, the most urgent first, then
-/// what is reported to users already.
+/// The order in which due records are written: first those with a waiting user, then those of ready jobs, and then
+/// those that only repeat what is reported to users already. Within each group, more urgent jobs come first.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 pub(in crate::coordination) struct WriteOrder<'a> {
-    /// No user waits for what becomes of the record.
+    /// `true` if no user waits for the outcome of the write.
     pub no_user_waits: bool,
-    /// Some prerequisites are not done.
+    /// `true` if some prerequisites are not done.
     pub not_ready: bool,
-    /// The job's own priority or the one it inherits.
+    /// Own or inherited priority of the job, whichever is higher.
     pub priority: Priority,
-    /// When the job should be done, by the time of day in milliseconds; the maximum if it has no deadline.
+    /// Own or inherited due time of the job in wall-clock milliseconds, whichever is earlier; `u64::MAX` without a
+    /// deadline.
     pub due_ms: u64,
-    /// The job.
+    /// Id of the job, which makes the order unambiguous.
     pub job: &'a JobId,
 }
 
-/// What may be reported about a waiting job.
+/// The status of a waiting job that may be reported to users.
 pub(in crate::coordination) enum WaitingStatus {
-    /// Its prerequisites are still being read.
+    /// Some prerequisites of the job are still being read.
     Loading,
-    /// This prerequisite was cancelled, and the job with it.
+    /// The given prerequisite was cancelled, and the job was withdrawn because of that.
     Withdrawn(JobId),
-    /// What becomes of the job depends on a write of its own record.
+    /// The status depends on the outcome of a write of the job's own record.
     WriteInProgress,
-    /// What becomes of the job depends on a write of a prerequisite's record.
+    /// The status depends on the outcome of a write of a prerequisite's record.
     PrerequisiteInDoubt,
-    /// Some of the jobs that it depends on are not in memory.
+    /// Some direct or indirect prerequisites are not in memory.
     PrerequisitesUnknown,
-    /// It waits: nothing that it depends on was cancelled.
+    /// The job waits, and none of its direct or indirect prerequisites was cancelled.
     Waiting,
 }
--- a/src/coordination/waiting_jobs/waiting_job.rs
+++ b/src/coordination/waiting_jobs/waiting_job.rs
@@ -1,4 +1,4 @@
-//! One job that waits for prerequisites, and how its record in the state service stands.
+//! One job that waits for prerequisites, and the state of its record in the state service.
 
 use super::super::events::Requester;
 use super::super::job_record_reads::VersionedRecord;
@@ -7,34 +7,35 @@
 use crate::storage::records::LiveRecord;
 use crate::time::{Span, Time};
 
-/// A job that waits for prerequisites: none of its tasks was ever started.
+/// A job that waits for prerequisites. None of its tasks was ever started.
 pub(in crate::coordination) struct WaitingJob {
-    /// What its owner submitted.
+    /// Specification of the job as submitted.
     spec: JobSpec,
-    /// The version of its record.
+    /// Version of the live record.
     version: Revision,
-    /// When it was accepted, by the time of day, in milliseconds.
+    /// Time of acceptance in wall-clock milliseconds.
     accepted_ms: u64,
-    /// Tasks below this number may be started once it is released.
+    /// Start watermark of the record: tasks below this number may be started as soon as the job is released.
     start_watermark: u32,
-    /// In how many records of their own its prerequisites are kept; 0 if its own record names them.
+    /// Number of part records that hold the job's prerequisites; 0 if the live record names them.
     parts: u32,
-    /// Its user has asked to cancel it.
+    /// `true` if the user has asked to cancel the job.
     cancelled: bool,
-    /// Who waits to hear that it is cancelled.
+    /// Requesters that wait for the cancellation to become durable.
     cancel_requesters: Vec<Requester>,
-    /// A read or write of its record is in flight.
+    /// `true` while a read or write of the record is in flight.
     call_in_flight: bool,
-    /// A write had no answer, so the record has to be read again.
+    /// `true` if a write had no answer, so that the record has to be read again.
     outcome_unknown: bool,
-    /// A write of its final record had no answer and may still be executed, as for a job that is not waiting.
+    /// `true` if a write of the final record had no answer and may still be executed. Other controllers may then read
+    /// the final record and report the end, as for a job that does not wait.
     final_write_in_doubt: bool,
-    /// When the last read or write failed.
+    /// Time of the last failed read or write. `None` if the latest call has not failed.
     failed_at: Option<Time>,
 }
 
 impl WaitingJob {
-    /// A waiting job as its record describes it.
+    /// Creates a waiting job from its live record.
     pub fn new(found: VersionedRecord) -> WaitingJob {
         let VersionedRecord { record, version } = found;
         let LiveRecord { job: spec, accepted_ms, start_watermark, parts, .. } = record;
@@ -53,43 +54,46 @@
         }
     }
 
-    /// The version of the job's record.
+    /// Returns the version of the job's live record.
     pub fn version(&self) -> Revision {
         self.version
     }
 
-    /// Whether the job's user has asked to cancel it.
+    /// Returns `true` if the user has asked to cancel the job.
     pub fn is_cancelled(&self) -> bool {
         self.cancelled
     }
 
-    /// Whether a write had no answer, so that the record has to be read again.
+    /// Returns `true` if a write had no answer, so that the record has to be read again.
     pub fn is_outcome_unknown(&self) -> bool {
         self.outcome_unknown
     }
 
-    /// Whether a user may be waiting for what becomes of the record: the job is cancelled, or a write had no answer.
+    /// Returns `true` if a user may be waiting for the outcome of a write: the user has asked to cancel the job, or a
+    /// write had no answer.
     pub fn is_outcome_awaited(&self) -> bool {
         self.cancelled || self.outcome_unknown
     }
 
-    /// Whether a read or write of the record is in flight.
+    /// Returns `true` while a read or write of the record is in flight.
     pub fn is_call_in_flight(&self) -> bool {
         self.call_in_flight
     }
 
-    /// Whether the record may be read or written: no call is in flight, and after a failure the pause has passed.
+    /// Returns `true` if the record may be read or written: no call is in flight, and the last failure is at least
+    /// `retry_pause` ago.
     pub fn may_call(&self, now: Time, retry_pause: Span) -> bool {
         let pauses = self.failed_at.is_some_and(|failed_at| now.since(failed_at) < retry_pause);
         !self.call_in_flight && !pauses
     }
 
-    /// The keys of the records that keep the job's prerequisites.
+    /// Returns the keys of the job's part records.
     pub fn part_keys(&self) -> impl Iterator<Item = String> {
         (0..self.parts).map(|part| keys::part_key(&self.spec.id, part))
     }
 
-    /// The ordinary record of the job once its prerequisites are all done.
+    /// Returns the live record that the job has once all its prerequisites are done. `ready_ms` is the time of the
+    /// release in wall-clock milliseconds.
     pub fn released_record(&self, shard: ShardId, ready_ms: u64) -> LiveRecord {
         LiveRecord {
             shard,
@@ -104,55 +108,55 @@
         }
     }
 
-    /// The job's user asks to cancel it.
+    /// Marks the job as cancelled by its user.
     pub fn request_cancellation(&mut self) {
         self.cancelled = true;
     }
 
-    /// Has a requester wait to hear that the job is cancelled.
+    /// Adds a requester that is answered once the cancellation is durable or has failed.
     pub fn add_cancel_requester(&mut self, requester: Requester) {
         self.cancel_requesters.push(requester);
     }
 
-    /// Returns those who wait to hear that the job is cancelled.
+    /// Removes and returns the requesters that wait for the cancellation.
     pub fn take_cancel_requesters(&mut self) -> Vec<Requester> {
         std::mem::take(&mut self.cancel_requesters)
     }
 
-    /// A read or write of the record was sent.
+    /// Records that a read or write of the record was sent.
     pub fn call_sent(&mut self) {
         self.call_in_flight = true;
         self.failed_at = None;
     }
 
-    /// A read or write of the record was answered or will not be.
+    /// Records that a read or write of the record was answered or timed out.
     pub fn call_answered(&mut self) {
         self.call_in_flight = false;
     }
 
-    /// A read or write of the record failed without changing what is known of the record.
+    /// Records that a read or write failed in a way that leaves the known state of the record valid.
     pub fn call_failed(&mut self, now: Time) {
         self.failed_at = Some(now);
     }
 
-    /// A read or write of the record had no answer that tells how the record stands.
+    /// Records that a read or write had no conclusive answer, so that the record has to be read again.
     pub fn outcome_lost(&mut self, now: Time) {
         self.outcome_unknown = true;
         self.failed_at = Some(now);
     }
 
-    /// A write of the final record had no answer and may still be executed.
+    /// Records that a write of the final record had no answer and may still be executed.
     pub fn final_write_lost(&mut self) {
         self.final_write_in_doubt = true;
     }
 
-    /// Whether a write of the final record may still be executed.
+    /// Returns `true` if a write of the final record may still be executed.
     pub fn is_final_write_in_doubt(&self) -> bool {
         self.final_write_in_doubt
     }
 
-    /// The live record was read and still shows a waiting job. A final write that was in doubt can be executed only
-    /// on the version that it was conditional on.
+    /// Records that the live record was read and still shows a waiting job. A final write that was in doubt can be
+    /// executed only while the record still has the version that the write was conditional on.
     pub fn live_record_read(&mut self, version: Revision) {
         self.final_write_in_doubt &= version == self.version;
         self.version = version;
