--- a/src/coordination/forecasts.rs
+++ b/src/coordination/forecasts.rs
@@ -1,7 +1,8 @@
-//! Forecasts: run times are learned from attempts, and finish times are forecast and promised to users.
+//! Forecasts: learns run times from attempts, and forecasts and promises finish times to users.
 //!
-//! What was learned belongs to a shard and passes from leader to leader as a snapshot in the state service. Nothing
-//! else depends on it, so it is read and written only while the rate limits leave plenty for the calls that matter.
+//! The learned run times belong to a shard. They pass from one leader to the next as a snapshot in the state service.
+//! No other function depends on them, so snapshots are read and written under the traffic class of background writes,
+//! which has to leave room for all other calls.
 
 mod capacity;
 mod snapshots;
@@ -24,28 +25,29 @@
 use std::collections::BTreeMap;
 use store::{ForecastContext, ForecastStore, JobForecast};
 
-/// How often the log says how accurate the forecasts are.
+/// Interval at which the accuracy of the forecasts is logged.
 const ACCURACY_LOG_INTERVAL: Span = Span::millis(300_000);
 
-/// What is learned and promised in the shards that this node leads.
+/// The learned run times and the promises of the shards that this node leads.
 pub(super) struct Forecasts {
     properties: ForecastProperties,
     stores: BTreeMap<ShardId, ForecastStore>,
 }
 
 impl Forecasts {
-    /// Creates an empty set of forecasts. Returns None if forecasts are not enabled.
+    /// Creates an empty set of forecasts, or returns `None` if forecasts are not enabled.
     pub fn new(settings: &Settings) -> Option<Forecasts> {
         let properties = settings.properties.forecast.clone();
         properties.enabled.then(|| Forecasts { properties, stores: BTreeMap::new() })
     }
 
+    /// Returns the store of a shard, if it belongs to the given leadership term.
     fn store_in_term(&mut self, leadership: LeadershipTerm) -> Option<&mut ForecastStore> {
         self.stores.get_mut(&leadership.shard).filter(|store| store.term == leadership.term)
     }
 
-    /// Creates the store of a shard for its present leadership term, unless there is one. What was learned in an
-    /// earlier term is in the snapshot, as far as it was saved.
+    /// Creates the store of a shard for its current leadership term, unless it exists. A store of an earlier term is
+    /// replaced; its observations are read back from the snapshot, as far as they were saved.
     fn ensure_store(&mut self, shard: &Shard, now: Time) {
         if self.stores.get(&shard.id).is_some_and(|store| store.term == shard.term) {
             return;
@@ -56,12 +58,12 @@
 }
 
 impl Controller {
-    /// Learns from the attempts that have ended and makes the forecasts that are due.
+    /// Learns from attempts that have ended, makes the forecasts that are due, and reads or writes snapshots.
     pub(super) fn forecast_tick(&mut self) {
         let Some(forecasts) = &mut self.forecasts else { return };
         let now = self.now;
         forecasts.stores.retain(|id, store| self.shards.get(id).is_some_and(|shard| shard.term == store.term));
-        // Only the first shards take jobs of teams.
+        // Only the first `team_shards` shards have jobs.
         let team_shards = self.settings.team_shards();
         let with_jobs = self.shards.values().filter(|shard| shard.is_active() && shard.id.0 < team_shards);
         let active: Vec<ShardId> = with_jobs.map(|shard| shard.id).collect();
@@ -71,6 +73,7 @@
         }
     }
 
+    /// Learns run times in one shard, and makes the forecasts that are due.
     fn forecast_shard(&mut self, id: ShardId, now: Time) {
         let (Some(forecasts), Some(shard)) = (&mut self.forecasts, self.shards.get_mut(&id)) else { return };
         shard.runtime_samples.get_or_insert_with(|| RuntimeSamples::new(self.settings.heartbeat_interval));
@@ -84,11 +87,12 @@
         if now.since(store.logged_at) >= ACCURACY_LOG_INTERVAL {
             store.logged_at = now;
             let accuracy = serde_json::to_string(&store.accuracy()).unwrap_or_default();
-            log::info!("forecasts of shard {id}: {} kinds of work, {accuracy}", store.learner.kinds());
+            log::info!("forecasts of shard {id}: {} kinds of work learned, accuracy {accuracy}", store.learner.kinds());
         }
     }
 
-    /// Learns at once from the attempts that have ended, before their job is removed from memory.
+    /// Learns from the attempts of a shard that have ended. Has to be called before their job is removed from memory,
+    /// as their samples are lost otherwise.
     pub(super) fn learn_runtimes(&mut self, id: ShardId) {
         let now = self.now;
         let Some(store) = self.forecasts.as_mut().and_then(|forecasts| forecasts.stores.get_mut(&id)) else { return };
@@ -97,7 +101,8 @@
         }
     }
 
-    /// A job has ended: its promise is compared with the time that it took.
+    /// Handles the end of a job: compares its promise with its finish time if the job is done, and discards the promise
+    /// if it is cancelled.
     pub(super) fn forecast_ended(&mut self, shard: ShardId, job: &JobId, state: FinalState) {
         let now = self.now;
         let forecasts = self.forecasts.as_mut();
@@ -109,9 +114,9 @@
         if let Some(JudgedPromise { promise, lateness }) = store.promises.job_done(job, now) {
             let promised = promise.by.since(promise.made).as_secs();
             let took = now.since(promise.made).as_secs();
-            log::debug!("job {job}: promised within {promised:.1} s, took {took:.1} s");
+            log::debug!("job {job}: promised to finish within {promised:.1} s, took {took:.1} s");
             if lateness > Span::ZERO {
-                log::debug!("job {job} is {:.1} s later than promised", lateness.as_secs());
+                log::debug!("job {job} finished {:.1} s later than promised", lateness.as_secs());
             }
         }
     }
@@ -122,8 +127,8 @@
         self.reply(requester, reply.unwrap_or_else(|| Reply::busy(BusyReason::ForecastPending)));
     }
 
-    /// Returns the forecast of a job, which is made at once if it is missing and the last round was not just now.
-    /// Returns None if there is no forecast yet.
+    /// Returns the reply with the forecast of a job, or `None` if there is no forecast yet. A missing forecast starts a
+    /// round at once, unless a round is in progress or the last one has only just begun.
     fn forecast_reply(&mut self, shard_id: ShardId, id: &JobId) -> Option<Reply> {
         let (now, wall_clock_ms) = (self.now, self.wall_clock_ms);
         let store = self.forecasts.as_mut()?.stores.get_mut(&shard_id)?;
@@ -137,7 +142,8 @@
     }
 }
 
-/// Returns the forecast of a job as users see it, or None if there is no forecast yet.
+/// Returns the reply with the forecast of a job, or `None` if there is no forecast yet or the job's state may not be
+/// reported now.
 fn forecast_view(store: &ForecastStore, shard: &Shard, id: &JobId, wall_clock_ms: u64, now: Time) -> Option<Reply> {
     let job = shard.jobs.get(id)?;
     let state: JobState = live_state(job)?;
@@ -170,14 +176,14 @@
     TaskForecast { run: interval(run.low, run.median, run.high), observations: run.observations, level: run.level }
 }
 
-/// Returns the finish time as seen from now rather than from when the forecast was made.
+/// Returns the time until the job finishes, counted from now rather than from the time of the forecast.
 fn finish_view(forecast: &JobForecast, now: Time) -> Option<Interval> {
     let age = now.since(forecast.made);
     forecast.finish.map(|finish| interval(finish.low - age, finish.median - age, finish.high - age))
 }
 
 fn promise_view(promise: &Promise, wall_clock_ms: u64, now: Time) -> PromiseView {
-    // Negative once the promised time is over.
+    // Negative after the promised time has passed.
     let by_s = promise.by.since(now).as_secs() - now.since(promise.by).as_secs();
     let by_ms = wall_clock_ms.saturating_add_signed((by_s * 1000.0) as i64);
     PromiseView { by_s, by_ms, made_s: now.since(promise.made).as_secs(), revisions: promise.revisions }
--- a/src/coordination/forecasts/capacity.rs
+++ b/src/coordination/forecasts/capacity.rs
@@ -1,4 +1,4 @@
-//! The machines of a shard that job arrays can use, now and once those that boot are up.
+//! Capacity of a shard's machines for job arrays, now and after the booting machines are up.
 
 use super::super::shard::{Machine, Shard};
 use crate::config::Settings;
@@ -7,35 +7,36 @@
 use crowstall_forecast::{AvailableCapacity, BootingCapacity};
 use std::collections::{BTreeMap, HashMap};
 
-/// A machine that is late is expected to be late by this share of its age again.
+/// Lower bound of the expected remaining boot time of a machine, as a share of its age. It applies to machines that
+/// have nearly reached or exceeded their nominal boot time.
 const EXPECTED_DELAY_SHARE: f64 = 0.25;
 
-/// The smallest number of CPUs by which a share is computed, against a division by zero.
+/// Lower bound of the divisor when a share of CPUs is computed, which prevents a division by zero.
 const MIN_CPUS: f64 = 1e-6;
 
-/// The name that stands for the machine type where a job may use no machine.
+/// Placeholder for the machine type if a shard has no machine that a job may use.
 const NO_TYPE: &str = "-";
 
-/// The machines of a shard that are up or booting, by group.
+/// The machines of a shard that are up or booting, in groups.
 pub(super) struct FreeCapacity {
-    /// The machines that are up first, then by when they will be.
+    /// Groups in the order in which their machines are available: first those that are up.
     groups: Vec<MachineGroup>,
 }
 
-/// Machines that tasks can use alike.
+/// Machines that are equivalent for the placement of tasks.
 struct MachineGroup {
     class: MachineClass,
-    /// What a machine of the type has room for.
+    /// Resources of one machine.
     room: Resources,
-    /// The number of machines.
+    /// Number of machines.
     count: u32,
-    /// How long it takes until the machines are up. None if they are.
+    /// Time until the machines are up. `None` if they are up already.
     up_in: Option<Span>,
-    /// The share of the CPUs that services leave free.
+    /// Share of the CPUs that is not used by services, from 0 to 1.
     free: f64,
 }
 
-/// The properties of a machine by which jobs may choose.
+/// The properties of a machine that jobs can restrict.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct MachineClass {
     kind: Name,
@@ -43,14 +44,14 @@
     spot: bool,
 }
 
-/// The machines of a class that are up.
+/// Totals of the machines of a class that are up.
 #[derive(Default)]
 struct UpMachines {
     count: u32,
     cpus_of_services: f64,
 }
 
-/// Machines of a class that will be up at about the same time.
+/// Machines of a class that will be up at about the same time, rounded up to seconds.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct BootingMachines {
     class: MachineClass,
@@ -58,7 +59,7 @@
 }
 
 impl FreeCapacity {
-    /// Counts the machines of a shard.
+    /// Groups the machines of a shard by class and by the time at which they are up.
     pub fn of(shard: &Shard, types: &HashMap<Name, MachineType>, now: Time) -> FreeCapacity {
         let mut groups = groups_of_machines_up(shard, types);
         groups.extend(groups_of_machines_booting(shard, types, now));
@@ -66,11 +67,12 @@
         FreeCapacity { groups }
     }
 
+    /// Returns the groups of machines that a job may use.
     fn usable_groups<'a>(&'a self, spec: &'a JobSpec) -> impl Iterator<Item = &'a MachineGroup> {
         self.groups.iter().filter(|group| spec.allows(&group.class.kind, &group.class.zone, group.class.spot))
     }
 
-    /// Returns the type of most machines that the job may use.
+    /// Returns the most common type among the machines that the job may use, or [`NO_TYPE`] if there are none.
     pub fn usual_type(&self, spec: &JobSpec) -> Name {
         let mut counts: BTreeMap<&Name, u32> = BTreeMap::new();
         for group in self.usable_groups(spec) {
@@ -80,7 +82,8 @@
         most.map_or_else(|| Name::new(NO_TYPE), |(kind, _)| kind.clone())
     }
 
-    /// Returns the CPUs that tasks of the job can use.
+    /// Returns the CPUs that the job's tasks can use, now and after booting machines are up. CPUs that are used by
+    /// tasks of job arrays count as available.
     pub fn room(&self, spec: &JobSpec, settings: &Settings) -> AvailableCapacity {
         let cpus_of_task = spec.needs.cpus.value();
         let mut capacity = AvailableCapacity::default();
@@ -98,8 +101,8 @@
     }
 }
 
-/// Groups the machines that are up and stay. Machines that are still unreconciled after a failover are counted too,
-/// since they will be reconciled soon.
+/// Groups the machines that are up, without those that are draining, being deleted or under a shutdown notice. Machines
+/// that are unreconciled after a failover are included, since they will be reconciled soon.
 fn groups_of_machines_up(shard: &Shard, types: &HashMap<Name, MachineType>) -> Vec<MachineGroup> {
     let mut classes: BTreeMap<MachineClass, UpMachines> = BTreeMap::new();
     let stays = |machine: &&Machine| !machine.draining && !machine.deleting && machine.notice.is_none();
@@ -127,7 +130,7 @@
     services.map(|attempt| attempt.needs.cpus.value()).sum()
 }
 
-/// Groups the machines that boot and those that were requested.
+/// Groups the machines that are booting and those that were requested but are not known by id yet.
 fn groups_of_machines_booting(shard: &Shard, types: &HashMap<Name, MachineType>, now: Time) -> Vec<MachineGroup> {
     let mut counts: BTreeMap<BootingMachines, u32> = BTreeMap::new();
     for machine in shard.fleet.booting.values().filter(|machine| !machine.deleting) {
@@ -149,6 +152,7 @@
     counts.into_iter().filter_map(group).collect()
 }
 
+/// Returns the length of a span in seconds, rounded up.
 fn whole_seconds(span: Span) -> u64 {
     span.as_secs().ceil() as u64
 }
--- a/src/coordination/forecasts/snapshots.rs
+++ b/src/coordination/forecasts/snapshots.rs
@@ -1,7 +1,7 @@
-//! Snapshots of what was learned of run times, in the state service.
+//! Snapshots of learned run times in the state service.
 //!
-//! Every shard has a snapshot. The snapshots of all shards are read once after leadership was acquired, and the
-//! shard's own is written from time to time.
+//! Every shard has a snapshot. A leader reads the snapshots of all shards once after it has acquired leadership, and
+//! writes the snapshot of its own shard periodically.
 
 use super::super::controller::Controller;
 use super::store::ForecastStore;
@@ -16,13 +16,13 @@
 use crate::time::{Span, Time};
 use crowstall_forecast::snapshot::{self, MergeOutcome};
 
-/// How long a failed call is not repeated at first. The pause doubles with each failure.
+/// Backoff after the first failed call. The backoff doubles with each further failure.
 const MIN_RETRY_PAUSE: Span = Span::millis(10_000);
 
-/// How long a failed call is not repeated at most.
+/// Upper bound of the backoff after failed calls.
 const MAX_RETRY_PAUSE: Span = Span::millis(600_000);
 
-/// How many bytes a record has besides the snapshot.
+/// Number of bytes reserved in a record for everything but the snapshot.
 const RECORD_OVERHEAD: usize = 64;
 
 /// A call to the state service that reads or writes snapshots.
@@ -33,26 +33,27 @@
     Save { leadership: LeadershipTerm },
 }
 
-/// How a shard's snapshot stands.
+/// State of a shard's snapshot in the state service.
 pub(super) struct SnapshotState {
-    /// The version of the record. None until all snapshots were read; nothing is written before.
+    /// Version of the snapshot's record, 0 if there is no record. `None` if the snapshots have to be read first, as
+    /// after a write without an answer; no snapshot is written until then.
     version: Option<Revision>,
-    /// Whether a read or a write is in flight.
+    /// `true` while a read or a write is in flight. A read of several pages counts as one.
     call_in_flight: bool,
-    /// When the next call may be sent.
+    /// Earliest time at which the next call may be sent.
     next_call: Time,
-    /// How long the next failed call is not repeated.
+    /// Backoff after the next failed call.
     retry_pause: Span,
-    /// How many attempts had been learned from by the time of the last snapshot, the one in flight included.
+    /// Number of attempts covered by the last snapshot, including one whose write is in flight.
     saved: u64,
-    /// How many attempts were learned from.
+    /// Number of attempts learned from in this leadership term.
     learned: u64,
-    /// Whether it was logged that a snapshot can't be read.
+    /// `true` after the first warning about an unreadable snapshot, so that the warning is not repeated.
     warned: bool,
 }
 
 impl SnapshotState {
-    /// Nothing has been read yet.
+    /// Creates the state of a shard whose snapshots were not read yet.
     pub fn new(now: Time) -> SnapshotState {
         SnapshotState {
             version: None,
@@ -65,45 +66,46 @@
         }
     }
 
-    /// Counts one more attempt that was learned from.
+    /// Counts an attempt that was learned from.
     pub fn count_learned(&mut self) {
         self.learned += 1;
     }
 
-    /// Whether the snapshots have to be read or the shard's own has to be written now.
+    /// Returns `true` if the snapshots have to be read, or the shard's own snapshot has to be written, now.
     fn is_due(&self, now: Time) -> bool {
         let is_wanted = self.version.is_none() || self.learned > self.saved;
         is_wanted && !self.call_in_flight && now >= self.next_call
     }
 
-    /// A snapshot is being written. The next one follows after `interval` at the earliest.
+    /// Records that a write of the snapshot was sent. The next one is sent after `interval` at the earliest.
     fn save_sent(&mut self, interval: Span, now: Time) {
         self.call_in_flight = true;
         self.saved = self.learned;
         self.next_call = now + interval;
     }
 
+    /// Records that a call has succeeded and that the snapshot's record has the given version now.
     fn succeeded(&mut self, version: Revision) {
         self.version = Some(version);
         self.call_in_flight = false;
         self.retry_pause = MIN_RETRY_PAUSE;
     }
 
-    /// A call failed: it is repeated later, after a longer pause each time.
+    /// Records that a call has failed. It is repeated after an exponential backoff.
     fn failed(&mut self, now: Time) {
         self.call_in_flight = false;
         self.next_call = now + self.retry_pause;
         self.retry_pause = self.retry_pause.times(2.0).min(MAX_RETRY_PAUSE);
     }
 
-    /// A snapshot was refused, and so not written.
+    /// Records that a write of the snapshot was refused and therefore not executed.
     fn save_refused(&mut self, now: Time) {
         self.saved = 0;
         self.failed(now);
     }
 
-    /// It is not known whether a snapshot was written. The record has to be read again; its contents are known here
-    /// already.
+    /// Records that the outcome of a write of the snapshot is unknown. The snapshots are read again to find the version
+    /// of the record; observations that the learner contains already are not added again.
     fn save_unanswered(&mut self, now: Time) {
         self.saved = 0;
         self.version = None;
@@ -112,7 +114,8 @@
 }
 
 impl ForecastStore {
-    /// Merges the snapshots of a page into what was learned, the shard's own first.
+    /// Merges the snapshots of a page into the learner, the shard's own first. The classes in `forget` are removed from
+    /// each snapshot that adds observations.
     fn merge_snapshots(&mut self, shard: ShardId, entries: &[Entry], forget: &[Name], now: Time) {
         let own_key = keys::forecast_key(shard);
         let (own, others): (Vec<&Entry>, Vec<&Entry>) = entries.iter().partition(|entry| entry.key == own_key);
@@ -121,20 +124,21 @@
         }
     }
 
+    /// Merges one snapshot into the learner. A snapshot that can't be read is ignored.
     fn merge_snapshot(&mut self, entry: &Entry, forget: &[Name], now: Time) {
         let record = serde_json::from_value::<ForecastRecord>(entry.value.clone()).map_err(|e| e.to_string());
         match record.and_then(|record| snapshot::read(&record.snapshot).map_err(|e| e.to_string())) {
             Ok(snapshot) => {
                 let merged = self.learner.merge(&snapshot, now);
-                log::info!("forecast snapshot {}: {} attempts, {:?}", entry.key, snapshot.attempts(), merged);
+                log::info!("forecast snapshot {} with {} attempts read: {:?}", entry.key, snapshot.attempts(), merged);
                 if merged == MergeOutcome::Added {
                     forget.iter().for_each(|class| self.learner.forget(class));
                 }
             }
-            // An unreadable snapshot is no reason to fail; the next snapshot replaces it.
+            // An unreadable snapshot costs accuracy only, and the next snapshot replaces it.
             Err(error) if !self.snapshot.warned => {
                 self.snapshot.warned = true;
-                log::warn!("forecast snapshot {} is ignored: {error}", entry.key);
+                log::warn!("forecast snapshot {} can't be read and is ignored: {error}", entry.key);
             }
             Err(_) => {}
         }
@@ -142,7 +146,7 @@
 }
 
 impl Controller {
-    /// Handles an answer of the state service to one of this module's calls.
+    /// Handles the answer of the state service to a read or write of snapshots.
     pub(in crate::coordination) fn forecast_answered(&mut self, operation: ForecastOperation, answer: StateResult) {
         match operation {
             ForecastOperation::Load { leadership } => self.snapshots_loaded(leadership, answer),
@@ -150,7 +154,7 @@
         }
     }
 
-    /// Reads the snapshots once, and writes the shard's own from time to time.
+    /// Sends the read of all snapshots, or the periodic write of the shard's own snapshot, if one of them is due.
     pub(super) fn snapshot_tick(&mut self, id: ShardId, now: Time) {
         let Some(store) = self.forecasts.as_ref().and_then(|forecasts| forecasts.stores.get(&id)) else { return };
         let (leadership, version) = (LeadershipTerm { shard: id, term: store.term }, store.snapshot.version);
@@ -163,6 +167,7 @@
         }
     }
 
+    /// Begins to read the snapshots of all shards.
     fn load_first_snapshots(&mut self, leadership: LeadershipTerm) {
         let Some(store) = self.forecasts.as_mut().and_then(|forecasts| forecasts.store_in_term(leadership)) else {
             return;
@@ -171,12 +176,13 @@
         self.load_snapshots(leadership, None);
     }
 
-    /// Reads the page of snapshots that begins after the given key.
+    /// Sends the read of the page of snapshots that begins after the given key, or of the first page.
     fn load_snapshots(&mut self, leadership: LeadershipTerm, after: Option<String>) {
         let request = StateCall::List { prefix: keys::FORECASTS, after };
         self.call_state(request, ForecastOperation::Load { leadership });
     }
 
+    /// Writes the snapshot of a shard, reduced to what fits into a value of the state service.
     fn save_snapshot(&mut self, leadership: LeadershipTerm, version: Revision, now: Time) {
         let id = leadership.shard;
         let Some(forecasts) = &mut self.forecasts else { return };
@@ -184,7 +190,7 @@
         let Some(store) = forecasts.store_in_term(leadership) else { return };
         let max_bytes = self.settings.value_bytes.saturating_sub(RECORD_OVERHEAD);
         let Some(text) = snapshot::write(&store.learner, now, max_bytes) else {
-            // Not even the coarsest snapshot fits: nothing can be saved with these limits.
+            // Even the coarsest snapshot exceeds the limit, so none can be saved with these settings.
             store.snapshot.next_call = now + MAX_RETRY_PAUSE;
             return;
         };
@@ -198,6 +204,7 @@
         self.call_state(request, ForecastOperation::Save { leadership });
     }
 
+    /// Handles the answer to the read of a page of snapshots.
     fn snapshots_loaded(&mut self, leadership: LeadershipTerm, answer: StateResult) {
         let now = self.now;
         let Some(forecasts) = &mut self.forecasts else { return };
@@ -210,7 +217,7 @@
         store.merge_snapshots(leadership.shard, &entries, &forget, now);
         let own_key = keys::forecast_key(leadership.shard);
         let own_version = entries.iter().find(|entry| entry.key == own_key).map(|entry| entry.version);
-        // The call counts as in flight until all pages are read, so that nothing is written before.
+        // The call counts as in flight until all pages are read, so that no snapshot is written before that.
         store.snapshot.version = own_version.or(store.snapshot.version);
         match entries.last() {
             Some(last) if more => {
@@ -224,6 +231,7 @@
         }
     }
 
+    /// Handles the answer to a write of a snapshot.
     fn snapshot_saved(&mut self, leadership: LeadershipTerm, answer: StateResult) {
         let now = self.now;
         let Some(store) = self.forecasts.as_mut().and_then(|forecasts| forecasts.store_in_term(leadership)) else {
@@ -240,6 +248,7 @@
         }
     }
 
+    /// Handles a write of a snapshot whose outcome is unknown.
     fn snapshot_save_unanswered(&mut self, leadership: LeadershipTerm) {
         let now = self.now;
         if let Some(store) = self.forecasts.as_mut().and_then(|forecasts| forecasts.store_in_term(leadership)) {
--- a/src/coordination/forecasts/store.rs
+++ b/src/coordination/forecasts/store.rs
@@ -1,5 +1,5 @@
-//! What is learned and promised in one shard during one leadership term, and the rounds in which the forecasts of its
-//! jobs are made.
+//! The learned run times, promises and forecasts of one shard during one leadership term. Forecasts are made in rounds
+//! over all job arrays of the shard.
 
 use super::super::cloud::Cloud;
 use super::super::scale_out::PLAN_PAUSE;
@@ -15,65 +15,68 @@
 };
 use std::collections::HashMap;
 
-/// How often the forecasts of all jobs are made anew at most.
+/// Minimum time between the starts of two rounds of forecasts, unless a user asks for a forecast that is missing.
 const ROUND_INTERVAL: Span = PLAN_PAUSE;
 
-/// How soon after the beginning of a round a user's request may start the next one.
+/// Minimum time between the start of a round and the start of the next one on a user's request.
 const MIN_ROUND_INTERVAL: Span = Span::millis(200);
 
-/// How many forecasts are made at a time: a large number of jobs must not hold up everything else.
+/// Maximum number of forecasts made at a time, so that a large number of jobs does not delay the handling of other
+/// events.
 const FORECASTS_AT_A_TIME: usize = 100;
 
-/// What is learned and promised in one shard during one leadership term.
+/// The learned run times, promises and forecasts of one shard during one leadership term.
 pub(super) struct ForecastStore {
-    /// The leadership term.
+    /// Leadership term in which the store was created.
     pub term: Revision,
-    /// Learns run times from attempts.
+    /// Run times learned from attempts.
     pub learner: Learner,
-    /// The finish times that were promised to users.
+    /// Finish times promised to users.
     pub promises: Promises,
-    /// The newest forecast of each job array.
+    /// Latest forecast of each job array.
     pub forecasts: HashMap<JobId, JobForecast>,
-    /// When the log last said how accurate the forecasts are.
+    /// Time at which the accuracy of the forecasts was last logged.
     pub logged_at: Time,
-    /// How the shard's snapshot stands.
+    /// State of the shard's snapshot.
     pub snapshot: SnapshotState,
-    /// When the newest round began.
+    /// Time at which the latest round began.
     round_began: Time,
-    /// What is left of the newest round.
+    /// Rest of the latest round. `None` if that round is complete.
     round: Option<Round>,
 }
 
 /// The forecast of one job array.
 pub(super) struct JobForecast {
-    /// The run time of its tasks.
+    /// Run time of one task.
     pub run: RunTimeForecast,
-    /// How long after `made` the job finishes, if that can be said.
+    /// Time from `made` until the job finishes. `None` if no capacity for the job is in sight, or if its tasks fail on
+    /// every machine.
     pub finish: Option<FinishForecast>,
-    /// When the forecast was made.
+    /// Time at which the forecast was made.
     pub made: Time,
 }
 
-/// What forecasts depend on besides the shard itself.
+/// The inputs of forecasts that do not belong to the shard.
 pub(super) struct ForecastContext<'a> {
     pub cloud: &'a Cloud,
     pub settings: &'a Settings,
-    /// The time of day, in milliseconds.
+    /// Wall-clock time in milliseconds.
     pub wall_clock_ms: u64,
     pub now: Time,
 }
 
-/// A round of forecasts that is under way: one job after another, in the order in which they are served.
+/// A round of forecasts in progress. Jobs are forecast one after the other, the most urgent first.
 struct Round {
-    /// The jobs whose forecasts are still to be made.
+    /// Jobs whose forecasts still have to be made.
     jobs: std::vec::IntoIter<JobId>,
-    /// The machines as they were when the round began.
+    /// Capacity of the shard's machines when the round began.
     capacity: FreeCapacity,
-    /// The work of the jobs whose forecasts were made, in CPU seconds.
+    /// Remaining work of the jobs whose forecasts were made in this round, in CPU seconds.
     ahead_cpu_s: f64,
 }
 
 impl Round {
+    /// Begins a round over all job arrays of a shard.
     fn begin(shard: &Shard, context: &ForecastContext) -> Round {
         let jobs = shard.by_urgency(context.settings, context.wall_clock_ms).into_iter();
         let arrays = jobs.filter(|job| job.spec.kind == JobKind::Array);
@@ -84,7 +87,7 @@
 }
 
 impl ForecastStore {
-    /// Creates a store in which nothing was learned yet.
+    /// Creates an empty store.
     pub fn new(term: Revision, limits: Limits, now: Time) -> ForecastStore {
         ForecastStore {
             term,
@@ -98,7 +101,7 @@
         }
     }
 
-    /// Learns from the runtime samples that attempts have left since the last call.
+    /// Learns from the runtime samples of attempts that have ended since the previous call.
     pub fn learn(&mut self, shard: &mut Shard, now: Time) {
         let Some(samples) = &mut shard.runtime_samples else { return };
         for sample in std::mem::take(&mut samples.samples) {
@@ -109,17 +112,18 @@
         }
     }
 
-    /// Whether forecasts are to be made now: a round is under way, or the next one is due.
+    /// Returns `true` if forecasts have to be made now, because a round is in progress or the next one is due.
     pub fn is_forecasting_due(&self, now: Time) -> bool {
         self.round.is_some() || now.since(self.round_began) >= ROUND_INTERVAL
     }
 
-    /// Whether the next round may begin early because a user asks for a forecast.
+    /// Returns `true` if a user's request for a forecast may start the next round early.
     pub fn may_forecast_on_request(&self, now: Time) -> bool {
         self.round.is_none() && now.since(self.round_began) >= MIN_ROUND_INTERVAL
     }
 
-    /// Continues the round that is under way, or begins the next one.
+    /// Makes the next forecasts of the current round, at most [`FORECASTS_AT_A_TIME`]. Begins a round if none is in
+    /// progress.
     pub fn forecast_some(&mut self, shard: &mut Shard, context: &ForecastContext) {
         let mut round = if let Some(round) = self.round.take() {
             round
@@ -143,7 +147,7 @@
         self.round = (round.jobs.len() > 0).then_some(round);
     }
 
-    /// Makes the forecast of a job and returns it with the work that is left of the job, in CPU seconds.
+    /// Makes the forecast of a job. Returns it with the remaining work of the job in CPU seconds.
     fn forecast_job(
         &mut self,
         shard: &Shard,
@@ -164,7 +168,7 @@
             image_fetch: image_fetch_time(&job.spec, context.cloud),
             capacity: &capacity,
         };
-        // A job that fails everywhere ends when its user cancels it, or never.
+        // A job whose tasks fail on every machine ends only if its user cancels it.
         let finish = if job.failures.fails_everywhere { None } else { forecast::forecast_finish(&inputs) };
         if let Some(finish) = finish {
             self.promise(&job.spec.id, finish, context.now);
@@ -173,7 +177,7 @@
         (JobForecast { run, finish, made: context.now }, work_cpu_s)
     }
 
-    /// Promises a finish time, or revises an earlier promise that does not hold any more.
+    /// Promises a finish time, or revises an earlier promise that no longer holds.
     fn promise(&mut self, id: &JobId, finish: FinishForecast, now: Time) {
         let before = self.promises.get(id);
         let promise = self.promises.promise(id, finish, now);
@@ -183,7 +187,7 @@
         }
     }
 
-    /// Returns how accurate the forecasts and promises were so far.
+    /// Returns the accuracy of the forecasts and promises that could be compared with actual times so far.
     pub fn accuracy(&self) -> ForecastRecord {
         let (runs, promises) = (self.learner.calibration.overall(), self.promises.tally);
         let kept = 1.0 - promises.above as f64 / promises.judged.max(1) as f64;
@@ -197,7 +201,7 @@
     }
 }
 
-/// Describes the work of a job on machines of a type to the learner.
+/// Returns the learner's description of the work of a job on machines of a type.
 fn work_of(spec: &JobSpec, machine: Name) -> TaskFeatures {
     TaskFeatures {
         team: spec.team.clone(),
@@ -208,7 +212,7 @@
     }
 }
 
-/// Returns how long each running task of a job has run, the shortest first.
+/// Returns the time that each running task of a job has run so far, in ascending order.
 fn running_times(shard: &Shard, job: &Job, now: Time) -> Vec<Span> {
     let since_start = |location: &AttemptLocation| {
         let machine = shard.machines.get(&location.machine);
@@ -220,13 +224,13 @@
     times
 }
 
-/// Returns how long the fetch of a job's image takes at least, or zero while no machine type is known.
+/// Returns the minimum time to fetch a job's image, or zero while no machine type is known.
 fn image_fetch_time(spec: &JobSpec, cloud: &Cloud) -> Span {
     let seconds = cloud.least_fetch(spec.image_gb);
     if seconds < f64::MAX { Span::secs(seconds) } else { Span::ZERO }
 }
 
-/// Returns the work that is left of a job, in CPU seconds.
+/// Returns the remaining work of a job in CPU seconds.
 fn remaining_work(inputs: &FinishInputs) -> f64 {
     let mean_s = inputs.run_time.mean.as_secs();
     let running_s = inputs.running.iter().map(|ran| (mean_s - ran.as_secs()).max(0.0)).sum::<f64>();
