--- a/crates/dependencies/src/graph.rs
+++ b/crates/dependencies/src/graph.rs
@@ -46,7 +46,7 @@
 
 /// The status of a waiting job that may be reported to users.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Outlook {
+pub enum DependencyStatus {
     /// All direct and indirect prerequisites are in the graph, and none of them is cancelled.
     Waiting,
     /// The given direct or indirect prerequisite was cancelled.
@@ -69,8 +69,8 @@
     index_by_job: HashMap<JobId, NodeIndex>,
     /// Jobs with the status [`JobStatus::Unknown`].
     unknown_jobs: HashSet<JobId>,
-    /// Jobs whose inherited urgency has changed since `take_changed` was last called.
-    changed: HashSet<JobId>,
+    /// Jobs whose inherited urgency has changed since `take_changed_urgencies` was last called.
+    changed_urgencies: HashSet<JobId>,
 }
 
 impl DependencyGraph {
@@ -149,27 +149,27 @@
 
     /// Returns the status of a waiting job that may be reported to users. `in_doubt` contains the jobs whose
     /// cancellations are being written and may already have been read by other nodes.
-    pub fn outlook(&self, job: &JobId, in_doubt: &HashSet<JobId>) -> Outlook {
-        let Some(index) = self.index_of(job) else { return Outlook::Unknown };
+    pub fn dependency_status(&self, job: &JobId, in_doubt: &HashSet<JobId>) -> DependencyStatus {
+        let Some(index) = self.index_of(job) else { return DependencyStatus::Unknown };
         if let JobStatus::Withdrawn(cause) = &self.graph[index].status {
-            return Outlook::Withdrawn(cause.clone());
+            return DependencyStatus::Withdrawn(cause.clone());
         }
         if self.unknown_jobs.is_empty() && in_doubt.is_empty() {
-            return Outlook::Waiting;
+            return DependencyStatus::Waiting;
         }
-        let mut outlook = Outlook::Waiting;
+        let mut status = DependencyStatus::Waiting;
         let reversed = Reversed(&self.graph);
         let mut traversal = Dfs::new(reversed, index);
         while let Some(prerequisite) = traversal.next(reversed) {
             let node = &self.graph[prerequisite];
             if node.status == JobStatus::Unknown {
-                return Outlook::Unknown;
+                return DependencyStatus::Unknown;
             }
             if in_doubt.contains(&node.job) {
-                outlook = Outlook::InDoubt;
+                status = DependencyStatus::InDoubt;
             }
         }
-        outlook
+        status
     }
 
     /// Returns the jobs that are known only as prerequisites, so that it is not known whether they have ended.
@@ -184,8 +184,8 @@
     }
 
     /// Returns the jobs whose inherited urgency has changed since the previous call.
-    pub fn take_changed(&mut self) -> HashSet<JobId> {
-        std::mem::take(&mut self.changed)
+    pub fn take_changed_urgencies(&mut self) -> HashSet<JobId> {
+        std::mem::take(&mut self.changed_urgencies)
     }
 
     /// Returns the number of jobs in the graph.
@@ -242,7 +242,7 @@
         if let Some(node) = self.graph.remove_node(index) {
             self.index_by_job.remove(&node.job);
             self.unknown_jobs.remove(&node.job);
-            self.changed.remove(&node.job);
+            self.changed_urgencies.remove(&node.job);
         }
     }
 
@@ -255,7 +255,7 @@
         let job = node.job.clone();
         self.remove(index);
         // The job no longer inherits urgency.
-        self.changed.insert(job);
+        self.changed_urgencies.insert(job);
     }
 
     /// Withdraws all direct and indirect dependents of a cancelled job and returns them.
--- a/crates/dependencies/src/graph/inheritance.rs
+++ b/crates/dependencies/src/graph/inheritance.rs
@@ -59,7 +59,7 @@
         let node = &mut self.graph[index];
         if node.inherited_urgency != inherited_urgency {
             node.inherited_urgency = inherited_urgency;
-            self.changed.insert(node.job.clone());
+            self.changed_urgencies.insert(node.job.clone());
         }
     }
 }
--- a/crates/dependencies/src/lib.rs
+++ b/crates/dependencies/src/lib.rs
@@ -12,5 +12,5 @@
 mod graph;
 mod urgency;
 
-pub use graph::{DependencyGraph, Outlook};
+pub use graph::{DependencyGraph, DependencyStatus};
 pub use urgency::Urgency;
--- a/crates/dependencies/tests/dependency_graph.rs
+++ b/crates/dependencies/tests/dependency_graph.rs
@@ -1,7 +1,7 @@
 //! Compares the dependency graph with a naive model on seeded random pipelines. After every step, the model recomputes
 //! readiness, withdrawal and urgency from the prerequisites and final states of all jobs.
 
-use crowstall_dependencies::{DependencyGraph, Outlook, Urgency};
+use crowstall_dependencies::{DependencyGraph, DependencyStatus, Urgency};
 use crowstall_model::model::{FinalState, JobId, Priority};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -200,17 +200,20 @@
     fn check_waiting(&self, number: usize, step: usize, checked: &mut Checked) {
         let (seed, job) = (self.seed, id(number));
         let is_withdrawn = self.model.is_withdrawn(number);
-        let outlook = self.graph.outlook(&job, &HashSet::new());
-        let is_expected = match (&outlook, is_withdrawn, self.model.depends_on_unknown(number)) {
-            (Outlook::Withdrawn(_), true, _) => true,
+        let status = self.graph.dependency_status(&job, &HashSet::new());
+        let is_expected = match (&status, is_withdrawn, self.model.depends_on_unknown(number)) {
+            (DependencyStatus::Withdrawn(_), true, _) => true,
             // A cancelled prerequisite may be hidden behind a job with an unknown status.
-            (Outlook::Unknown, _, true) => true,
-            (Outlook::Waiting, false, false) => true,
+            (DependencyStatus::Unknown, _, true) => true,
+            (DependencyStatus::Waiting, false, false) => true,
             _ => false,
         };
-        assert!(is_expected, "seed {seed} step {step}: outlook of {job} is {outlook:?}, withdrawn: {is_withdrawn}");
+        assert!(
+            is_expected,
+            "seed {seed} step {step}: dependency status of {job} is {status:?}, withdrawn: {is_withdrawn}"
+        );
         let is_reported = self.withdrawn.contains(&job);
-        assert_eq!(is_reported, matches!(outlook, Outlook::Withdrawn(_)), "seed {seed}: {job}");
+        assert_eq!(is_reported, matches!(status, DependencyStatus::Withdrawn(_)), "seed {seed}: {job}");
         assert!(!self.graph.is_ready(&job), "seed {seed} step {step}: {job} is ready too early");
         if is_withdrawn { checked.withdrawn += 1 } else { checked.waiting += 1 }
     }
@@ -246,8 +249,8 @@
     graph.add_waiting(&id(5), &[id(4)], Urgency::default());
     (1..5).step_by(3).for_each(|number| graph.mark_runnable(&id(number), Urgency::default()));
     let in_doubt = HashSet::from([id(1)]);
-    assert_eq!(graph.outlook(&id(3), &in_doubt), Outlook::InDoubt);
-    assert_eq!(graph.outlook(&id(5), &in_doubt), Outlook::Waiting);
+    assert_eq!(graph.dependency_status(&id(3), &in_doubt), DependencyStatus::InDoubt);
+    assert_eq!(graph.dependency_status(&id(5), &in_doubt), DependencyStatus::Waiting);
 }
 
 const LONG_DUE: Urgency = Urgency { priority: Priority::High, due_ms: Some(90_000_000), late_ms: None, run_ms: 1_000 };
--- a/src/coordination/dependencies/operations.rs
+++ b/src/coordination/dependencies/operations.rs
@@ -79,7 +79,7 @@
     /// Prerequisites that still have to be checked. The record of the last one is being read.
     pub(super) unchecked: Vec<JobId>,
     /// Kind of the record that is being read.
-    pub(super) reading: JobRecordKind,
+    pub(super) record_kind: JobRecordKind,
 }
 
 /// A search through the records for a cancelled job among the direct and indirect prerequisites of a waiting job. A
@@ -106,5 +106,5 @@
     /// Job whose record is read.
     pub(super) job: JobId,
     /// Kind of the record that is read.
-    pub(super) reading: JobRecordKind,
+    pub(super) record_kind: JobRecordKind,
 }
--- a/src/coordination/dependencies/prerequisite_check.rs
+++ b/src/coordination/dependencies/prerequisite_check.rs
@@ -38,7 +38,7 @@
                 }
             }
         }
-        self.check_next(PrerequisiteCheck { submission, unchecked, reading: JobRecordKind::Live });
+        self.check_next_prerequisite(PrerequisiteCheck { submission, unchecked, record_kind: JobRecordKind::Live });
     }
 
     /// Returns the state of a prerequisite as far as it is known without reading the records.
@@ -46,7 +46,7 @@
         if self.directory.has_ended(prerequisite) {
             return KnownPrerequisite::Accepted;
         }
-        let Some(shard) = self.shard_with(prerequisite).and_then(|shard| self.shards.get(&shard)) else {
+        let Some(shard) = self.active_shard_with(prerequisite).and_then(|shard| self.shards.get(&shard)) else {
             return KnownPrerequisite::NotInMemory;
         };
         match shard.jobs.get(prerequisite).map(|job| job.spec.kind) {
@@ -67,7 +67,7 @@
     }
 
     /// Reads a record of the next prerequisite, or accepts the job if all prerequisites were checked.
-    fn check_next(&mut self, mut check: PrerequisiteCheck) {
+    fn check_next_prerequisite(&mut self, mut check: PrerequisiteCheck) {
         let Some(prerequisite) = check.unchecked.last() else {
             self.remove_done_prerequisites(&mut check.submission.spec);
             return self.accept(check.submission);
@@ -75,21 +75,21 @@
         if !self.admits(TrafficClass::RecordRead) {
             return self.reply(check.submission.requester, Reply::busy(BusyReason::TooManyReads));
         }
-        let request = check.reading.request(prerequisite);
+        let request = check.record_kind.request(prerequisite);
         self.call_state(request, DependencyOperation::CheckPrerequisite(Box::new(check)));
     }
 
     /// Handles the answer to the read of a prerequisite's record.
     pub(super) fn prerequisite_checked(&mut self, mut check: PrerequisiteCheck, answer: StateResult) {
         let Some(prerequisite) = check.unchecked.last().cloned() else { return };
-        match check.reading.interpret(answer) {
+        match check.record_kind.interpret(answer) {
             JobRecordAnswer::Live(found) if found.record.job.kind == JobKind::Service => {
                 return self.refuse_submission(check.submission, &never_done(&prerequisite));
             }
             JobRecordAnswer::Live(_) => {}
             JobRecordAnswer::Final(end) => self.directory.record_end(prerequisite, end),
             JobRecordAnswer::NotLive => {
-                return self.check_next(PrerequisiteCheck { reading: JobRecordKind::Final, ..check });
+                return self.check_next_prerequisite(PrerequisiteCheck { record_kind: JobRecordKind::Final, ..check });
             }
             JobRecordAnswer::NoSuchJob => {
                 let reason = format!("awaits: {prerequisite} was never accepted");
@@ -103,7 +103,7 @@
             }
         }
         check.unchecked.pop();
-        self.check_next(PrerequisiteCheck { reading: JobRecordKind::Live, ..check });
+        self.check_next_prerequisite(PrerequisiteCheck { record_kind: JobRecordKind::Live, ..check });
     }
 }
 
--- a/src/coordination/dependencies/prerequisite_ends.rs
+++ b/src/coordination/dependencies/prerequisite_ends.rs
@@ -17,7 +17,7 @@
         let mut shards_with_due = Vec::new();
         for shard in self.shards.values_mut() {
             shard.dependencies.record_end(id, state);
-            if shard.dependencies.has_due() && shard.is_active() {
+            if shard.dependencies.has_due_records() && shard.is_active() {
                 shards_with_due.push(shard.id);
             }
         }
@@ -26,8 +26,8 @@
         }
     }
 
-    /// Looks for the ends of prerequisites that are not in the memory of the shard, in the directory of this node and,
-    /// if the rate limits admit it, in the records.
+    /// Looks for the ends of prerequisites that are not in the memory of the shard: first in the cache of this node and
+    /// then, if the rate limits admit it, in the records.
     pub(super) fn find_prerequisite_ends(&mut self, shard_id: ShardId) {
         let now = self.now;
         self.use_known_ends(shard_id);
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Applies the ends of unknown prerequisites that are in the directory of this node.
+    /// Applies the ends of unknown prerequisites that are cached on this node.
     fn use_known_ends(&mut self, shard_id: ShardId) {
         let Some(shard) = self.shards.get(&shard_id) else { return };
         let has_ended = |id: &&JobId| self.directory.has_ended(id);
--- a/src/coordination/dependencies/prerequisite_parts.rs
+++ b/src/coordination/dependencies/prerequisite_parts.rs
@@ -62,7 +62,7 @@
                 self.admit_next_step(TrafficClass::Acceptance);
                 self.write_parts(new_job);
             }
-            answer => self.accept_answered(new_job, answer),
+            answer => self.acceptance_answered(new_job, answer),
         }
     }
 }
--- a/src/coordination/dependencies/requests.rs
+++ b/src/coordination/dependencies/requests.rs
@@ -46,7 +46,7 @@
             return self.reply(requester, Reply::busy(BusyReason::LeadershipOverlap));
         }
         job.add_cancel_requester(requester);
-        shard.dependencies.set_due(id.clone());
-        self.write_waiting_record(shard_id, &id);
+        shard.dependencies.mark_record_due(id.clone());
+        self.perform_record_step(shard_id, &id);
     }
 }
--- a/src/coordination/dependencies/traversal.rs
+++ b/src/coordination/dependencies/traversal.rs
@@ -58,7 +58,7 @@
                     return self.reply(traversal.requester, reply);
                 }
                 None => {
-                    return self.read_in_traversal(TraversalRead { traversal, job, reading: JobRecordKind::Live });
+                    return self.read_in_traversal(TraversalRead { traversal, job, record_kind: JobRecordKind::Live });
                 }
             }
         }
@@ -83,23 +83,23 @@
         if read.traversal.read_count > MAX_READS || !self.admits(TrafficClass::RecordRead) {
             return self.reply(read.traversal.requester, Reply::busy(BusyReason::TooManyPrerequisites));
         }
-        let request = read.reading.request(&read.job);
+        let request = read.record_kind.request(&read.job);
         self.call_state(request, DependencyOperation::Traverse(Box::new(read)));
     }
 
     /// Handles the answer to the read of a record during a traversal.
     pub(super) fn traversal_answered(&mut self, read: TraversalRead, answer: StateResult) {
-        let TraversalRead { mut traversal, job, reading } = read;
-        match reading.interpret(answer) {
+        let TraversalRead { mut traversal, job, record_kind } = read;
+        match record_kind.interpret(answer) {
             JobRecordAnswer::Live(found) => self.live_record_traversed(traversal, found.record),
             JobRecordAnswer::Final(end) => {
                 self.directory.record_end(job.clone(), end);
-                // The job is visited again, now that its end is in the directory.
+                // The job is visited again, now that its end is cached.
                 traversal.unvisited.push(job);
                 self.continue_traversal(traversal);
             }
             JobRecordAnswer::NotLive => {
-                self.read_in_traversal(TraversalRead { traversal, job, reading: JobRecordKind::Final });
+                self.read_in_traversal(TraversalRead { traversal, job, record_kind: JobRecordKind::Final });
             }
             JobRecordAnswer::NoSuchJob | JobRecordAnswer::Unreadable(_) | JobRecordAnswer::Unanswered => {
                 let reply = Reply::busy(BusyReason::PrerequisiteUnreadable);
--- a/src/coordination/dependencies/waiting_records.rs
+++ b/src/coordination/dependencies/waiting_records.rs
@@ -19,14 +19,16 @@
     /// Writes or reads the due records of waiting jobs, as far as the rate limits allow.
     pub(super) fn write_due_records(&mut self, shard_id: ShardId) {
         let (now, retry_pause) = (self.now, self.settings.properties.progress_interval);
-        let Some(shard) = self.shards.get(&shard_id).filter(|shard| shard.dependencies.has_due()) else { return };
-        for id in shard.dependencies.due_jobs(now, retry_pause) {
+        let Some(shard) = self.shards.get(&shard_id).filter(|shard| shard.dependencies.has_due_records()) else {
+            return;
+        };
+        for id in shard.dependencies.jobs_with_due_records(now, retry_pause) {
             let Some(shard) = self.shards.get(&shard_id) else { return };
             let Some(urgency) = shard.dependencies.write_urgency(&id) else { continue };
             if !self.limits_allow_write(urgency) {
                 return;
             }
-            self.write_waiting_record(shard_id, &id);
+            self.perform_record_step(shard_id, &id);
         }
     }
 
@@ -41,7 +43,7 @@
 
     /// Performs the next step for the record of a waiting job: writes it, or reads it if the outcome of a write is
     /// unknown.
-    pub(super) fn write_waiting_record(&mut self, shard_id: ShardId, id: &JobId) {
+    pub(super) fn perform_record_step(&mut self, shard_id: ShardId, id: &JobId) {
         if !self.may_decide(shard_id) {
             return;
         }
@@ -55,7 +57,7 @@
             RecordStep::Release => self.write_release(shard_id, id),
             RecordStep::Wait => {
                 if let Some(shard) = self.shards.get_mut(&shard_id) {
-                    shard.dependencies.clear_due(id);
+                    shard.dependencies.clear_record_due(id);
                 }
             }
         }
@@ -134,7 +136,7 @@
         }
         match (operation, answer) {
             (WaitingRecordOperation::ReadLive, answer) => self.waiting_record_read(shard_id, &id, answer),
-            (WaitingRecordOperation::ReadFinal, answer) => self.final_record_read(shard_id, &id, answer),
+            (WaitingRecordOperation::ReadFinal, answer) => self.waiting_final_record_read(shard_id, &id, answer),
             (WaitingRecordOperation::Release(record), Ok(StateAnswer::Committed(version))) => {
                 self.job_released(shard_id, VersionedRecord { record: *record, version });
             }
@@ -142,8 +144,8 @@
                 self.waiting_job_ended(shard_id, &id, end);
             }
             (_, Err(CallError::Refused { .. })) => self.waiting_write_refused(shard_id, &id),
-            (WaitingRecordOperation::Release(_), _) => self.waiting_outcome_lost(shard_id, &id),
-            (WaitingRecordOperation::End(_), _) => self.final_write_lost(shard_id, &id),
+            (WaitingRecordOperation::Release(_), _) => self.waiting_outcome_unknown(shard_id, &id),
+            (WaitingRecordOperation::End(_), _) => self.waiting_final_write_unanswered(shard_id, &id),
         }
     }
 
@@ -163,16 +165,16 @@
                 log::error!("live record of waiting job {id} can't be parsed, reading it again after a pause: {error}");
                 self.waiting_call_failed(shard_id, id);
             }
-            _ => self.waiting_outcome_lost(shard_id, id),
+            _ => self.waiting_outcome_unknown(shard_id, id),
         }
     }
 
     /// Handles the answer to a read of the final record, which follows when there is no live record.
-    fn final_record_read(&mut self, shard_id: ShardId, id: &JobId, answer: StateResult) {
+    fn waiting_final_record_read(&mut self, shard_id: ShardId, id: &JobId, answer: StateResult) {
         match JobRecordKind::Final.interpret(answer) {
             JobRecordAnswer::Final(end) => self.waiting_job_ended(shard_id, id, end),
             JobRecordAnswer::Unreadable(_) => self.waiting_call_failed(shard_id, id),
-            _ => self.waiting_outcome_lost(shard_id, id),
+            _ => self.waiting_outcome_unknown(shard_id, id),
         }
     }
 
@@ -209,22 +211,22 @@
     }
 
     /// Handles a write of the final record that had no conclusive answer and may still be executed.
-    fn final_write_lost(&mut self, shard_id: ShardId, id: &JobId) {
+    fn waiting_final_write_unanswered(&mut self, shard_id: ShardId, id: &JobId) {
         let Some(shard) = self.shards.get_mut(&shard_id) else { return };
         if let Some(job) = shard.dependencies.waiting_job_mut(id) {
-            job.final_write_lost();
+            job.mark_final_write_in_doubt();
         }
-        self.waiting_outcome_lost(shard_id, id);
+        self.waiting_outcome_unknown(shard_id, id);
     }
 
     /// Schedules a read of a record whose state is unknown.
-    fn waiting_outcome_lost(&mut self, shard_id: ShardId, id: &JobId) {
+    fn waiting_outcome_unknown(&mut self, shard_id: ShardId, id: &JobId) {
         let now = self.now;
         let Some(shard) = self.shards.get_mut(&shard_id) else { return };
         let Some(job) = shard.dependencies.waiting_job_mut(id) else { return };
-        job.outcome_lost(now);
+        job.mark_outcome_unknown(now);
         let requesters = job.take_cancel_requesters();
-        shard.dependencies.set_due(id.clone());
+        shard.dependencies.mark_record_due(id.clone());
         self.ask_to_retry(requesters);
     }
 
@@ -243,7 +245,7 @@
         shard.accept_job(record, version, now);
         shard.update_inherited_urgency();
         let Some(mut waiting) = waiting else { return };
-        if waiting.is_cancelled() {
+        if waiting.is_cancel_requested() {
             // The user has asked to cancel the job while the release was being written.
             for requester in waiting.take_cancel_requesters() {
                 self.cancel_here(requester, shard_id, id.clone());
--- a/src/coordination/forecasts.rs
+++ b/src/coordination/forecasts.rs
@@ -1,8 +1,8 @@
 //! Forecasts: learns run times from attempts, and forecasts and promises finish times to users.
 //!
 //! The learned run times belong to a shard. They pass from one leader to the next as a snapshot in the state service.
-//! No other function depends on them, so snapshots are read and written under the traffic class of background writes,
-//! which has to leave room for all other calls.
+//! Nothing else depends on them, so snapshots are read and written under the traffic class of background writes, which
+//! leaves most of the rate limits to other calls.
 
 mod capacity;
 mod snapshots;
@@ -82,10 +82,13 @@
         store.learn(shard, now);
         if store.is_forecasting_due(now) {
             let (cloud, settings) = (&self.cloud, &self.settings);
-            store.forecast_some(shard, &ForecastContext { cloud, settings, wall_clock_ms: self.wall_clock_ms, now });
+            store.forecast_next_batch(
+                shard,
+                &ForecastContext { cloud, settings, wall_clock_ms: self.wall_clock_ms, now },
+            );
         }
-        if now.since(store.logged_at) >= ACCURACY_LOG_INTERVAL {
-            store.logged_at = now;
+        if now.since(store.accuracy_logged_at) >= ACCURACY_LOG_INTERVAL {
+            store.accuracy_logged_at = now;
             let accuracy = serde_json::to_string(&store.accuracy()).unwrap_or_default();
             log::info!("forecasts of shard {id}: {} kinds of work learned, accuracy {accuracy}", store.learner.kinds());
         }
@@ -136,7 +139,7 @@
         let is_array = shard.jobs.get(id).is_some_and(|job| job.spec.kind == JobKind::Array);
         if is_array && !store.forecasts.contains_key(id) && store.may_forecast_on_request(now) {
             let (cloud, settings) = (&self.cloud, &self.settings);
-            store.forecast_some(shard, &ForecastContext { cloud, settings, wall_clock_ms, now });
+            store.forecast_next_batch(shard, &ForecastContext { cloud, settings, wall_clock_ms, now });
         }
         forecast_view(store, shard, id, wall_clock_ms, now)
     }
--- a/src/coordination/forecasts/capacity.rs
+++ b/src/coordination/forecasts/capacity.rs
@@ -7,11 +7,11 @@
 use crowstall_forecast::{AvailableCapacity, BootingCapacity};
 use std::collections::{BTreeMap, HashMap};
 
-/// Lower bound of the expected remaining boot time of a machine, as a share of its age. It applies to machines that
+/// Lower bound of the expected remaining boot time of a machine, as a fraction of its age. It applies to machines that
 /// have nearly reached or exceeded their nominal boot time.
-const EXPECTED_DELAY_SHARE: f64 = 0.25;
+const EXPECTED_DELAY_FRACTION: f64 = 0.25;
 
-/// Lower bound of the divisor when a share of CPUs is computed, which prevents a division by zero.
+/// Lower bound of the divisor when a fraction of CPUs is computed, which prevents a division by zero.
 const MIN_CPUS: f64 = 1e-6;
 
 /// Placeholder for the machine type if a shard has no machine that a job may use.
@@ -31,9 +31,9 @@
     /// Number of machines.
     count: u32,
     /// Time until the machines are up. `None` if they are up already.
-    up_in: Option<Span>,
-    /// Share of the CPUs that is not used by services, from 0 to 1.
-    free: f64,
+    time_until_up: Option<Span>,
+    /// Fraction of the CPUs that is not used by services, from 0 to 1.
+    free_cpu_fraction: f64,
 }
 
 /// The properties of a machine that jobs can restrict.
@@ -48,14 +48,14 @@
 #[derive(Default)]
 struct UpMachines {
     count: u32,
-    cpus_of_services: f64,
+    service_cpus: f64,
 }
 
 /// Machines of a class that will be up at about the same time, rounded up to seconds.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct BootingMachines {
     class: MachineClass,
-    up_in_s: u64,
+    seconds_until_up: u64,
 }
 
 impl FreeCapacity {
@@ -63,7 +63,7 @@
     pub fn of(shard: &Shard, types: &HashMap<Name, MachineType>, now: Time) -> FreeCapacity {
         let mut groups = groups_of_machines_up(shard, types);
         groups.extend(groups_of_machines_booting(shard, types, now));
-        groups.sort_by_key(|group| group.up_in);
+        groups.sort_by_key(|group| group.time_until_up);
         FreeCapacity { groups }
     }
 
@@ -73,7 +73,7 @@
     }
 
     /// Returns the most common type among the machines that the job may use, or [`NO_TYPE`] if there are none.
-    pub fn usual_type(&self, spec: &JobSpec) -> Name {
+    pub fn most_common_type(&self, spec: &JobSpec) -> Name {
         let mut counts: BTreeMap<&Name, u32> = BTreeMap::new();
         for group in self.usable_groups(spec) {
             *counts.entry(&group.class.kind).or_default() += group.count;
@@ -84,15 +84,15 @@
 
     /// Returns the CPUs that the job's tasks can use, now and after booting machines are up. CPUs that are used by
     /// tasks of job arrays count as available.
-    pub fn room(&self, spec: &JobSpec, settings: &Settings) -> AvailableCapacity {
+    pub fn available_capacity(&self, spec: &JobSpec, settings: &Settings) -> AvailableCapacity {
         let cpus_of_task = spec.needs.cpus.value();
         let mut capacity = AvailableCapacity::default();
         for group in self.usable_groups(spec) {
             let slots = group.count * group.room.slots(&spec.needs);
-            let cpus = f64::from(slots) * group.free * cpus_of_task;
-            match group.up_in {
+            let cpus = f64::from(slots) * group.free_cpu_fraction * cpus_of_task;
+            match group.time_until_up {
                 None => capacity.cpus += cpus,
-                Some(up_in) => capacity.booting.push(BootingCapacity { ready_in: up_in, cpus }),
+                Some(time_until_up) => capacity.booting.push(BootingCapacity { ready_in: time_until_up, cpus }),
             }
         }
         let quota = settings.teams.get(&spec.team).and_then(|quota| quota.cpus_max);
@@ -101,8 +101,8 @@
     }
 }
 
-/// Groups the machines that are up, without those that are draining, being deleted or under a shutdown notice. Machines
-/// that are unreconciled after a failover are included, since they will be reconciled soon.
+/// Groups the machines that are up, without those that are draining, being deleted or about to be reclaimed by the
+/// cloud. Machines that are unreconciled after a failover are included, since they will be reconciled soon.
 fn groups_of_machines_up(shard: &Shard, types: &HashMap<Name, MachineType>) -> Vec<MachineGroup> {
     let mut classes: BTreeMap<MachineClass, UpMachines> = BTreeMap::new();
     let stays = |machine: &&Machine| !machine.draining && !machine.deleting && machine.notice.is_none();
@@ -110,19 +110,19 @@
         let class = MachineClass { kind: machine.kind.clone(), zone: machine.zone.clone(), spot: machine.spot };
         let up = classes.entry(class).or_default();
         up.count += 1;
-        up.cpus_of_services += cpus_of_services(shard, machine);
+        up.service_cpus += service_cpus(shard, machine);
     }
     let group = |(class, up): (MachineClass, UpMachines)| {
         let room = types.get(&class.kind)?.room;
         let all_cpus = (f64::from(up.count) * room.cpus.value()).max(MIN_CPUS);
-        let free = (1.0 - up.cpus_of_services / all_cpus).clamp(0.0, 1.0);
-        Some(MachineGroup { class, room, count: up.count, up_in: None, free })
+        let free_cpu_fraction = (1.0 - up.service_cpus / all_cpus).clamp(0.0, 1.0);
+        Some(MachineGroup { class, room, count: up.count, time_until_up: None, free_cpu_fraction })
     };
     classes.into_iter().filter_map(group).collect()
 }
 
 /// Returns the CPUs that services use on a machine.
-fn cpus_of_services(shard: &Shard, machine: &Machine) -> f64 {
+fn service_cpus(shard: &Shard, machine: &Machine) -> f64 {
     let services = machine.attempts.values().filter(|attempt| {
         let job = shard.jobs.get(&attempt.task.job);
         !attempt.is_over() && job.is_some_and(|job| job.spec.kind == JobKind::Service)
@@ -136,18 +136,24 @@
     for machine in shard.fleet.booting.values().filter(|machine| !machine.deleting) {
         let Some(kind) = types.get(&machine.kind) else { continue };
         let age = now.since(machine.since);
-        let up_in = (kind.boot - age).max(age.times(EXPECTED_DELAY_SHARE));
+        let time_until_up = (kind.boot - age).max(age.times(EXPECTED_DELAY_FRACTION));
         let class = MachineClass { kind: machine.kind.clone(), zone: machine.zone.clone(), spot: machine.spot };
-        *counts.entry(BootingMachines { class, up_in_s: whole_seconds(up_in) }).or_default() += 1;
+        *counts.entry(BootingMachines { class, seconds_until_up: whole_seconds(time_until_up) }).or_default() += 1;
     }
     for rental in shard.fleet.rentals.values() {
-        let up_in_s = types.get(&rental.kind).map_or(0, |kind| whole_seconds(kind.boot));
+        let seconds_until_up = types.get(&rental.kind).map_or(0, |kind| whole_seconds(kind.boot));
         let class = MachineClass { kind: rental.kind.clone(), zone: rental.zone.clone(), spot: rental.spot };
-        *counts.entry(BootingMachines { class, up_in_s }).or_default() += rental.count;
+        *counts.entry(BootingMachines { class, seconds_until_up }).or_default() += rental.count;
     }
-    let group = |(BootingMachines { class, up_in_s }, count): (BootingMachines, u32)| {
+    let group = |(BootingMachines { class, seconds_until_up }, count): (BootingMachines, u32)| {
         let room = types.get(&class.kind)?.room;
-        Some(MachineGroup { class, room, count, up_in: Some(Span::millis(up_in_s * 1000)), free: 1.0 })
+        Some(MachineGroup {
+            class,
+            room,
+            count,
+            time_until_up: Some(Span::millis(seconds_until_up * 1000)),
+            free_cpu_fraction: 1.0,
+        })
     };
     counts.into_iter().filter_map(group).collect()
 }
--- a/src/coordination/forecasts/snapshots.rs
+++ b/src/coordination/forecasts/snapshots.rs
@@ -17,10 +17,10 @@
 use crowstall_forecast::snapshot::{self, MergeOutcome};
 
 /// Backoff after the first failed call. The backoff doubles with each further failure.
-const MIN_RETRY_PAUSE: Span = Span::millis(10_000);
+const MIN_RETRY_BACKOFF: Span = Span::millis(10_000);
 
 /// Upper bound of the backoff after failed calls.
-const MAX_RETRY_PAUSE: Span = Span::millis(600_000);
+const MAX_RETRY_BACKOFF: Span = Span::millis(600_000);
 
 /// Number of bytes reserved in a record for everything but the snapshot.
 const RECORD_OVERHEAD: usize = 64;
@@ -41,15 +41,15 @@
     /// `true` while a read or a write is in flight. A read of several pages counts as one.
     call_in_flight: bool,
     /// Earliest time at which the next call may be sent.
-    next_call: Time,
+    next_call_at: Time,
     /// Backoff after the next failed call.
-    retry_pause: Span,
+    retry_backoff: Span,
     /// Number of attempts covered by the last snapshot, including one whose write is in flight.
-    saved: u64,
+    attempts_saved: u64,
     /// Number of attempts learned from in this leadership term.
-    learned: u64,
+    attempts_learned: u64,
     /// `true` after the first warning about an unreadable snapshot, so that the warning is not repeated.
-    warned: bool,
+    unreadable_warned: bool,
 }
 
 impl SnapshotState {
@@ -58,64 +58,64 @@
         SnapshotState {
             version: None,
             call_in_flight: false,
-            next_call: now,
-            retry_pause: MIN_RETRY_PAUSE,
-            saved: 0,
-            learned: 0,
-            warned: false,
+            next_call_at: now,
+            retry_backoff: MIN_RETRY_BACKOFF,
+            attempts_saved: 0,
+            attempts_learned: 0,
+            unreadable_warned: false,
         }
     }
 
     /// Counts an attempt that was learned from.
     pub fn count_learned(&mut self) {
-        self.learned += 1;
+        self.attempts_learned += 1;
     }
 
     /// Returns `true` if the snapshots have to be read, or the shard's own snapshot has to be written, now.
     fn is_due(&self, now: Time) -> bool {
-        let is_wanted = self.version.is_none() || self.learned > self.saved;
-        is_wanted && !self.call_in_flight && now >= self.next_call
+        let is_wanted = self.version.is_none() || self.attempts_learned > self.attempts_saved;
+        is_wanted && !self.call_in_flight && now >= self.next_call_at
     }
 
     /// Records that a write of the snapshot was sent. The next one is sent after `interval` at the earliest.
     fn save_sent(&mut self, interval: Span, now: Time) {
         self.call_in_flight = true;
-        self.saved = self.learned;
-        self.next_call = now + interval;
+        self.attempts_saved = self.attempts_learned;
+        self.next_call_at = now + interval;
     }
 
     /// Records that a call has succeeded and that the snapshot's record has the given version now.
     fn succeeded(&mut self, version: Revision) {
         self.version = Some(version);
         self.call_in_flight = false;
-        self.retry_pause = MIN_RETRY_PAUSE;
+        self.retry_backoff = MIN_RETRY_BACKOFF;
     }
 
     /// Records that a call has failed. It is repeated after an exponential backoff.
     fn failed(&mut self, now: Time) {
         self.call_in_flight = false;
-        self.next_call = now + self.retry_pause;
-        self.retry_pause = self.retry_pause.times(2.0).min(MAX_RETRY_PAUSE);
+        self.next_call_at = now + self.retry_backoff;
+        self.retry_backoff = self.retry_backoff.times(2.0).min(MAX_RETRY_BACKOFF);
     }
 
     /// Records that a write of the snapshot was refused and therefore not executed.
     fn save_refused(&mut self, now: Time) {
-        self.saved = 0;
+        self.attempts_saved = 0;
         self.failed(now);
     }
 
     /// Records that the outcome of a write of the snapshot is unknown. The snapshots are read again to find the version
     /// of the record; observations that the learner contains already are not added again.
     fn save_unanswered(&mut self, now: Time) {
-        self.saved = 0;
+        self.attempts_saved = 0;
         self.version = None;
         self.failed(now);
     }
 }
 
 impl ForecastStore {
-    /// Merges the snapshots of a page into the learner, the shard's own first. The classes in `forget` are removed from
-    /// each snapshot that adds observations.
+    /// Merges the snapshots of a page into the learner, the shard's own first. Whenever a snapshot has added
+    /// observations, all observations of the classes in `forget` are discarded.
     fn merge_snapshots(&mut self, shard: ShardId, entries: &[Entry], forget: &[Name], now: Time) {
         let own_key = keys::forecast_key(shard);
         let (own, others): (Vec<&Entry>, Vec<&Entry>) = entries.iter().partition(|entry| entry.key == own_key);
@@ -136,8 +136,8 @@
                 }
             }
             // An unreadable snapshot costs accuracy only, and the next snapshot replaces it.
-            Err(error) if !self.snapshot.warned => {
-                self.snapshot.warned = true;
+            Err(error) if !self.snapshot.unreadable_warned => {
+                self.snapshot.unreadable_warned = true;
                 log::warn!("forecast snapshot {} can't be read and is ignored: {error}", entry.key);
             }
             Err(_) => {}
@@ -191,7 +191,7 @@
         let max_bytes = self.settings.value_bytes.saturating_sub(RECORD_OVERHEAD);
         let Some(text) = snapshot::write(&store.learner, now, max_bytes) else {
             // Even the coarsest snapshot exceeds the limit, so none can be saved with these settings.
-            store.snapshot.next_call = now + MAX_RETRY_PAUSE;
+            store.snapshot.next_call_at = now + MAX_RETRY_BACKOFF;
             return;
         };
         store.snapshot.save_sent(interval, now);
--- a/src/coordination/forecasts/store.rs
+++ b/src/coordination/forecasts/store.rs
@@ -23,7 +23,7 @@
 
 /// Maximum number of forecasts made at a time, so that a large number of jobs does not delay the handling of other
 /// events.
-const FORECASTS_AT_A_TIME: usize = 100;
+const FORECAST_BATCH_SIZE: usize = 100;
 
 /// The learned run times, promises and forecasts of one shard during one leadership term.
 pub(super) struct ForecastStore {
@@ -36,11 +36,11 @@
     /// Latest forecast of each job array.
     pub forecasts: HashMap<JobId, JobForecast>,
     /// Time at which the accuracy of the forecasts was last logged.
-    pub logged_at: Time,
+    pub accuracy_logged_at: Time,
     /// State of the shard's snapshot.
     pub snapshot: SnapshotState,
     /// Time at which the latest round began.
-    round_began: Time,
+    round_began_at: Time,
     /// Rest of the latest round. `None` if that round is complete.
     round: Option<Round>,
 }
@@ -94,9 +94,9 @@
             learner: Learner::new(term.0, limits),
             promises: Promises::default(),
             forecasts: HashMap::new(),
-            logged_at: now,
+            accuracy_logged_at: now,
             snapshot: SnapshotState::new(now),
-            round_began: Time::ZERO,
+            round_began_at: Time::ZERO,
             round: None,
         }
     }
@@ -114,24 +114,24 @@
 
     /// Returns `true` if forecasts have to be made now, because a round is in progress or the next one is due.
     pub fn is_forecasting_due(&self, now: Time) -> bool {
-        self.round.is_some() || now.since(self.round_began) >= ROUND_INTERVAL
+        self.round.is_some() || now.since(self.round_began_at) >= ROUND_INTERVAL
     }
 
     /// Returns `true` if a user's request for a forecast may start the next round early.
     pub fn may_forecast_on_request(&self, now: Time) -> bool {
-        self.round.is_none() && now.since(self.round_began) >= MIN_ROUND_INTERVAL
+        self.round.is_none() && now.since(self.round_began_at) >= MIN_ROUND_INTERVAL
     }
 
-    /// Makes the next forecasts of the current round, at most [`FORECASTS_AT_A_TIME`]. Begins a round if none is in
+    /// Makes the next forecasts of the current round, at most [`FORECAST_BATCH_SIZE`]. Begins a round if none is in
     /// progress.
-    pub fn forecast_some(&mut self, shard: &mut Shard, context: &ForecastContext) {
+    pub fn forecast_next_batch(&mut self, shard: &mut Shard, context: &ForecastContext) {
         let mut round = if let Some(round) = self.round.take() {
             round
         } else {
-            self.round_began = context.now;
+            self.round_began_at = context.now;
             Round::begin(shard, context)
         };
-        let next: Vec<JobId> = round.jobs.by_ref().take(FORECASTS_AT_A_TIME).collect();
+        let next: Vec<JobId> = round.jobs.by_ref().take(FORECAST_BATCH_SIZE).collect();
         for id in next {
             let Some(job) = shard.jobs.get(&id).filter(|job| job.ending.is_none()) else { continue };
             let (forecast, work_cpu_s) = self.forecast_job(shard, job, &round, context);
@@ -155,10 +155,10 @@
         round: &Round,
         context: &ForecastContext,
     ) -> (JobForecast, f64) {
-        let machine = round.capacity.usual_type(&job.spec);
+        let machine = round.capacity.most_common_type(&job.spec);
         let run = self.learner.predict(&work_of(&job.spec, machine), &job.runtimes.track);
         let running = running_times(shard, job, context.now);
-        let capacity = round.capacity.room(&job.spec, context.settings);
+        let capacity = round.capacity.available_capacity(&job.spec, context.settings);
         let inputs = FinishInputs {
             run_time: run,
             cpus_per_task: job.spec.needs.cpus.value(),
--- a/src/coordination/user_requests/acceptance.rs
+++ b/src/coordination/user_requests/acceptance.rs
@@ -87,8 +87,8 @@
     }
 
     /// Handles the answer to the commit of a new job's live record, or to a write of its part records that failed.
-    pub(in crate::coordination) fn accept_answered(&mut self, new_job: NewJob, answer: StateResult) {
-        let requesters = self.users.take_accepting(new_job.id());
+    pub(in crate::coordination) fn acceptance_answered(&mut self, new_job: NewJob, answer: StateResult) {
+        let requesters = self.users.take_acceptance_requesters(new_job.id());
         match answer {
             Ok(StateAnswer::Committed(version)) => self.acceptance_committed(new_job, version, requesters),
             Ok(answer) if answer.is_conflict_on(&keys::shard_key(new_job.shard)) => {
@@ -142,7 +142,7 @@
         if self.shards.get(&shard_id).is_some_and(|shard| shard.has(id)) {
             self.poll_here(requester, shard_id, id.clone());
         } else {
-            self.poll_records(requester, id);
+            self.poll_from_records(requester, id);
         }
     }
 
--- a/src/coordination/user_requests/adoption.rs
+++ b/src/coordination/user_requests/adoption.rs
@@ -30,7 +30,7 @@
 
 /// The outcome of an attempt to adopt a job.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub(super) enum Adoption {
+pub(super) enum AdoptionOutcome {
     /// The job is in memory, or it is known to have ended.
     Settled,
     /// The record may be stale and has to be read again.
@@ -38,7 +38,7 @@
 }
 
 impl Controller {
-    /// Adopts a job from the live record that was returned by a read sent at `sent`.
+    /// Adopts a job from the live record that was returned by a read sent at `sent_at`.
     ///
     /// The record was written in this leadership term, as it would otherwise have been loaded with the shard, so none
     /// of the job's tasks has been started. However, the record may be stale: an answer may take long, and may have to
@@ -49,22 +49,22 @@
         &mut self,
         shard_id: ShardId,
         found: VersionedRecord,
-        sent: Time,
+        sent_at: Time,
         source: AdoptionSource,
-    ) -> Adoption {
+    ) -> AdoptionOutcome {
         let now = self.now;
         let VersionedRecord { record, version } = found;
         let has_ended = self.directory.has_ended(&record.job.id);
-        let Some(shard) = self.shards.get_mut(&shard_id) else { return Adoption::Retry };
+        let Some(shard) = self.shards.get_mut(&shard_id) else { return AdoptionOutcome::Retry };
         if has_ended || shard.has(&record.job.id) {
-            return Adoption::Settled;
+            return AdoptionOutcome::Settled;
         }
-        let sent_after_loading = shard.loading.read_at.is_some_and(|read_at| sent >= read_at);
-        if !sent_after_loading || now.since(sent) >= MAX_RECORD_AGE {
-            return Adoption::Retry;
+        let sent_after_loading = shard.loading.read_at.is_some_and(|read_at| sent_at >= read_at);
+        if !sent_after_loading || now.since(sent_at) >= MAX_RECORD_AGE {
+            return AdoptionOutcome::Retry;
         }
         log::info!("job {} adopted by shard {shard_id}: {}", record.job.id, source.log_text());
         shard.adopt(record, version, now);
-        Adoption::Settled
+        AdoptionOutcome::Settled
     }
 }
--- a/src/coordination/user_requests/cancellation.rs
+++ b/src/coordination/user_requests/cancellation.rs
@@ -13,7 +13,7 @@
         if let Some(reply) = self.known_final_reply(&job) {
             return self.reply(requester, reply);
         }
-        if let Some(shard) = self.shard_with(&job) {
+        if let Some(shard) = self.active_shard_with(&job) {
             return self.cancel_here(requester, shard, job);
         }
         match self.directory.job_shard(&job) {
--- a/src/coordination/user_requests/handoff.rs
+++ b/src/coordination/user_requests/handoff.rs
@@ -2,7 +2,7 @@
 
 use super::super::controller::Controller;
 use super::super::job_record_reads::{JobRecordAnswer, JobRecordKind};
-use super::adoption::{Adoption, AdoptionSource};
+use super::adoption::{AdoptionOutcome, AdoptionSource};
 use super::operations::{HandoffRecord, UserOperation};
 use crate::coordination::leadership_term::LeadershipTerm;
 use crate::coordination::state_admission::TrafficClass;
@@ -19,7 +19,7 @@
         let Some(shard) = self.shards.get(&shard_id).filter(|shard| shard.is_active()) else { return };
         let leadership = shard.leadership_term();
         let is_known = shard.has(&job) || self.directory.has_ended(&job);
-        if !self.may_decide(shard_id) || self.users.is_handling(key) || !self.admits(TrafficClass::Adoption) {
+        if !self.may_decide(shard_id) || self.users.is_handoff_in_flight(key) || !self.admits(TrafficClass::Adoption) {
             return;
         }
         self.users.begin_handoff(key);
@@ -27,41 +27,41 @@
         if is_known {
             return self.remove_handoff(leadership, handoff);
         }
-        let operation = UserOperation::ReadHandoff { leadership, handoff, sent: self.now };
+        let operation = UserOperation::ReadHandoff { leadership, handoff, sent_at: self.now };
         self.call_state(JobRecordKind::Live.request(&job), operation);
     }
 
-    /// Handles the answer to the read of a handed-off job's live record that was sent at `sent`.
+    /// Handles the answer to the read of a handed-off job's live record that was sent at `sent_at`.
     pub(super) fn handoff_read(
         &mut self,
         leadership: LeadershipTerm,
         handoff: HandoffRecord,
-        sent: Time,
+        sent_at: Time,
         answer: StateResult,
     ) {
         let shard_id = leadership.shard;
         if self.shard_in_term(leadership).is_none() {
             return self.users.finish_handoff(&handoff.key);
         }
-        match self.adopt_handed_off(shard_id, sent, answer) {
-            Adoption::Settled => {
+        match self.adopt_handed_off(shard_id, sent_at, answer) {
+            AdoptionOutcome::Settled => {
                 self.admit_next_step(TrafficClass::Adoption);
                 self.remove_handoff(leadership, handoff);
             }
             // The hand-off record remains and is processed when it is next seen.
-            Adoption::Retry => self.users.finish_handoff(&handoff.key),
+            AdoptionOutcome::Retry => self.users.finish_handoff(&handoff.key),
         }
     }
 
     /// Adopts the job if its live record was read and belongs to the shard.
-    fn adopt_handed_off(&mut self, shard_id: ShardId, sent: Time, answer: StateResult) -> Adoption {
+    fn adopt_handed_off(&mut self, shard_id: ShardId, sent_at: Time, answer: StateResult) -> AdoptionOutcome {
         match JobRecordKind::Live.interpret(answer) {
             JobRecordAnswer::Live(found) if found.record.decided_in() == shard_id => {
-                self.adopt_from_record(shard_id, *found, sent, AdoptionSource::Handoff)
+                self.adopt_from_record(shard_id, *found, sent_at, AdoptionSource::Handoff)
             }
-            JobRecordAnswer::Unanswered => Adoption::Retry,
+            JobRecordAnswer::Unanswered => AdoptionOutcome::Retry,
             // The job has ended, belongs to another shard, or has no readable record: there is nothing to adopt.
-            _ => Adoption::Settled,
+            _ => AdoptionOutcome::Settled,
         }
     }
 
--- a/src/coordination/user_requests/lookup.rs
+++ b/src/coordination/user_requests/lookup.rs
@@ -3,7 +3,7 @@
 use super::super::controller::Controller;
 use super::super::events::Requester;
 use super::super::job_record_reads::{JobRecordAnswer, JobRecordKind, VersionedRecord};
-use super::adoption::{Adoption, AdoptionSource};
+use super::adoption::{AdoptionOutcome, AdoptionSource};
 use super::operations::{JobLookup, LookupPurpose, UserOperation};
 use super::views::{final_reply, state_reply};
 use crate::coordination::state_admission::TrafficClass;
@@ -21,23 +21,23 @@
         if !self.admits(TrafficClass::RecordRead) {
             return self.reply(requester, Reply::busy(BusyReason::TooManyReads));
         }
-        self.read_record(JobLookup { requester, job, purpose, reading: JobRecordKind::Live, sent: self.now });
+        self.read_record(JobLookup { requester, job, purpose, record_kind: JobRecordKind::Live, sent_at: self.now });
     }
 
     /// Sends the read of the record that is next in the lookup.
     fn read_record(&mut self, lookup: JobLookup) {
-        let request = lookup.reading.request(&lookup.job);
+        let request = lookup.record_kind.request(&lookup.job);
         self.call_state(request, UserOperation::LookUp(Box::new(lookup)));
     }
 
     /// Handles the answer to the read of one of the job's records.
     pub(super) fn job_looked_up(&mut self, lookup: JobLookup, answer: StateResult) {
-        match lookup.reading.interpret(answer) {
+        match lookup.record_kind.interpret(answer) {
             JobRecordAnswer::Live(found) => self.live_record_found(lookup, *found),
             JobRecordAnswer::Final(end) => self.final_record_found(lookup, end),
             JobRecordAnswer::NotLive => {
                 self.admit_next_step(TrafficClass::RecordRead);
-                self.read_record(JobLookup { reading: JobRecordKind::Final, ..lookup });
+                self.read_record(JobLookup { record_kind: JobRecordKind::Final, ..lookup });
             }
             JobRecordAnswer::NoSuchJob => self.job_not_found(lookup),
             JobRecordAnswer::Unreadable(_) => self.reply(lookup.requester, Reply::busy(BusyReason::RecordUnreadable)),
@@ -86,11 +86,11 @@
     /// Answers a request about a job that belongs to a shard led by this node but is not in the shard's memory, because
     /// the answer to the commit of its acceptance was lost.
     fn adopt_and_answer(&mut self, lookup: JobLookup, shard_id: ShardId, found: VersionedRecord) {
-        let JobLookup { requester, purpose, sent, .. } = lookup;
+        let JobLookup { requester, purpose, sent_at, .. } = lookup;
         let id = found.record.job.id.clone();
-        match self.adopt_from_record(shard_id, found, sent, AdoptionSource::Lookup) {
-            Adoption::Retry => self.look_up_job(requester, id, purpose),
-            Adoption::Settled => match purpose {
+        match self.adopt_from_record(shard_id, found, sent_at, AdoptionSource::Lookup) {
+            AdoptionOutcome::Retry => self.look_up_job(requester, id, purpose),
+            AdoptionOutcome::Settled => match purpose {
                 LookupPurpose::Cancel => self.cancel_here(requester, shard_id, id),
                 LookupPurpose::Forecast => self.forecast_here(requester, shard_id, id),
                 _ => self.poll_here(requester, shard_id, id),
--- a/src/coordination/user_requests/mod.rs
+++ b/src/coordination/user_requests/mod.rs
@@ -58,12 +58,12 @@
     }
 
     /// Removes and returns the requesters that wait for the acceptance of a job.
-    fn take_accepting(&mut self, job: &JobId) -> Vec<Requester> {
+    fn take_acceptance_requesters(&mut self, job: &JobId) -> Vec<Requester> {
         self.accepting.remove(job).unwrap_or_default()
     }
 
     /// Returns `true` if a hand-off record is being read or removed.
-    fn is_handling(&self, key: &str) -> bool {
+    fn is_handoff_in_flight(&self, key: &str) -> bool {
         self.handoffs_in_flight.contains(key)
     }
 
@@ -83,9 +83,9 @@
     pub(super) fn user_operation_answered(&mut self, operation: UserOperation, answer: StateResult) {
         match operation {
             UserOperation::LookUp(lookup) => self.job_looked_up(*lookup, answer),
-            UserOperation::Accept(new_job) => self.accept_answered(*new_job, answer),
-            UserOperation::ReadHandoff { leadership, handoff, sent } => {
-                self.handoff_read(leadership, handoff, sent, answer);
+            UserOperation::Accept(new_job) => self.acceptance_answered(*new_job, answer),
+            UserOperation::ReadHandoff { leadership, handoff, sent_at } => {
+                self.handoff_read(leadership, handoff, sent_at, answer);
             }
             UserOperation::RemoveHandoff { handoff } => self.users.finish_handoff(&handoff),
         }
--- a/src/coordination/user_requests/operations.rs
+++ b/src/coordination/user_requests/operations.rs
@@ -15,8 +15,8 @@
     LookUp(Box<JobLookup>),
     /// Writes the first records of a new job.
     Accept(Box<NewJob>),
-    /// Reads the live record of a job that another controller accepted for this shard; `sent` is the time of sending.
-    ReadHandoff { leadership: LeadershipTerm, handoff: HandoffRecord, sent: Time },
+    /// Reads the live record of a job that another controller accepted for this shard. The read was sent at `sent_at`.
+    ReadHandoff { leadership: LeadershipTerm, handoff: HandoffRecord, sent_at: Time },
     /// Removes the hand-off record with the given key, since its job is in memory or known to have ended.
     RemoveHandoff { handoff: String },
 }
@@ -57,9 +57,9 @@
     /// Request that the records are read for.
     pub(super) purpose: LookupPurpose,
     /// Kind of the record that is being read.
-    pub(super) reading: JobRecordKind,
+    pub(super) record_kind: JobRecordKind,
     /// Time at which the read of the live record was sent.
-    pub(super) sent: Time,
+    pub(super) sent_at: Time,
 }
 
 /// The request that a job's records are read for.
--- a/src/coordination/user_requests/polling.rs
+++ b/src/coordination/user_requests/polling.rs
@@ -57,7 +57,7 @@
         if let Some(reply) = self.known_final_reply(&job) {
             return self.reply(requester, reply);
         }
-        if let Some(shard) = self.shard_with(&job) {
+        if let Some(shard) = self.active_shard_with(&job) {
             return match query {
                 JobQuery::Poll => self.poll_here(requester, shard, job),
                 JobQuery::Forecast => self.forecast_here(requester, shard, job),
@@ -107,7 +107,7 @@
     }
 
     /// Answers a poll from the final record if it is in memory, and otherwise from the records in the state service.
-    pub(super) fn poll_records(&mut self, requester: Requester, job: &JobId) {
+    pub(super) fn poll_from_records(&mut self, requester: Requester, job: &JobId) {
         match self.known_final_reply(job) {
             Some(reply) => self.reply(requester, reply),
             None => self.look_up_job(requester, job.clone(), LookupPurpose::DependencyTraversal),
@@ -120,7 +120,7 @@
     }
 
     /// Returns the shard led by this node that has the job in memory.
-    pub(in crate::coordination) fn shard_with(&self, job: &JobId) -> Option<ShardId> {
+    pub(in crate::coordination) fn active_shard_with(&self, job: &JobId) -> Option<ShardId> {
         self.shards.values().find(|shard| shard.is_active() && shard.has(job)).map(|shard| shard.id)
     }
 
--- a/src/coordination/user_requests/submission.rs
+++ b/src/coordination/user_requests/submission.rs
@@ -27,7 +27,7 @@
         if let Some(reply) = self.known_final_reply(&id) {
             return self.reply(requester, reply);
         }
-        match self.shard_with(&id) {
+        match self.active_shard_with(&id) {
             Some(shard) => self.poll_here(requester, shard, id),
             None => self.look_up_job(requester, id, LookupPurpose::Refuse(refusal)),
         }
@@ -38,7 +38,7 @@
         if let Some(reply) = self.known_final_reply(&spec.id) {
             return self.reply(requester, reply);
         }
-        if let Some(shard) = self.shard_with(&spec.id) {
+        if let Some(shard) = self.active_shard_with(&spec.id) {
             return self.poll_here(requester, shard, spec.id);
         }
         if !self.cloud.has_catalog() {
--- a/src/coordination/waiting_jobs/final_record_scan.rs
+++ b/src/coordination/waiting_jobs/final_record_scan.rs
@@ -46,7 +46,7 @@
     }
 
     /// Allows the next scan to start at once. A scan that is in progress is not affected.
-    pub fn request_soon(&mut self) {
+    pub fn allow_immediate_start(&mut self) {
         if let FinalRecordScan::Idle { finished_at } = self {
             *finished_at = None;
         }
--- a/src/coordination/waiting_jobs/mod.rs
+++ b/src/coordination/waiting_jobs/mod.rs
@@ -10,7 +10,7 @@
 use crate::protocol::state::Entry;
 use crate::storage::records::LiveRecord;
 use crate::time::{Span, Time};
-use crowstall_dependencies::{DependencyGraph, Outlook, Urgency};
+use crowstall_dependencies::{DependencyGraph, DependencyStatus, Urgency};
 use final_record_scan::{FinalRecordScan, ScannedPage};
 use partially_loaded::PartiallyLoadedJobs;
 use record_steps::WriteOrder;
@@ -30,7 +30,7 @@
     /// Keys of the part records of jobs that no longer wait.
     obsolete_parts: Vec<String>,
     /// Waiting jobs whose records have to be written or read.
-    due: BTreeSet<JobId>,
+    due_records: BTreeSet<JobId>,
     /// Jobs whose cancellation is being written, so that other controllers may already have read it.
     cancellations_in_doubt: HashSet<JobId>,
     /// Factor by which the deadline of a class may be exceeded while the job's result is still of use.
@@ -48,7 +48,7 @@
             jobs: HashMap::new(),
             partially_loaded: PartiallyLoadedJobs::default(),
             obsolete_parts: Vec::new(),
-            due: BTreeSet::new(),
+            due_records: BTreeSet::new(),
             cancellations_in_doubt: HashSet::new(),
             late_factors,
             scan: FinalRecordScan::new(),
@@ -91,7 +91,7 @@
 
     /// Returns the jobs whose inherited urgency has changed since the previous call.
     pub(in crate::coordination) fn take_changed_urgencies(&mut self) -> HashSet<JobId> {
-        self.graph.take_changed()
+        self.graph.take_changed_urgencies()
     }
 
     /// Marks a job as loaded and not waiting for any prerequisite.
@@ -109,16 +109,16 @@
         let id = record.job.id.clone();
         let withdrawn = self.graph.add_waiting(&id, &record.job.prerequisites, urgency);
         if self.graph.is_ready(&id) {
-            self.due.insert(id.clone());
+            self.due_records.insert(id.clone());
         }
         self.jobs.insert(id, WaitingJob::new(VersionedRecord { record, version }));
-        self.due.extend(withdrawn);
-        self.scan.request_soon();
+        self.due_records.extend(withdrawn);
+        self.scan.allow_immediate_start();
     }
 
     /// Removes a job that no longer waits. Its part records become obsolete.
     pub(in crate::coordination) fn remove_waiting_job(&mut self, job: &JobId) -> Option<WaitingJob> {
-        self.due.remove(job);
+        self.due_records.remove(job);
         let waiting = self.jobs.remove(job)?;
         self.obsolete_parts.extend(waiting.part_keys());
         Some(waiting)
@@ -169,7 +169,7 @@
             }
         }
         // A cancellation also withdraws jobs that are known to the graph only as prerequisites and have no record here.
-        self.due.extend(affected.into_iter().filter(|dependent| self.jobs.contains_key(dependent)));
+        self.due_records.extend(affected.into_iter().filter(|dependent| self.jobs.contains_key(dependent)));
     }
 
     /// Marks the cancellation of a job as being written. Other controllers may read it from now on.
@@ -186,8 +186,8 @@
 
     /// Returns the cancelled prerequisite because of which a job is withdrawn, or `None` if the job is not withdrawn.
     pub(in crate::coordination) fn withdrawn_with(&self, job: &JobId) -> Option<JobId> {
-        match self.graph.outlook(job, &self.cancellations_in_doubt) {
-            Outlook::Withdrawn(cause) => Some(cause),
+        match self.graph.dependency_status(job, &self.cancellations_in_doubt) {
+            DependencyStatus::Withdrawn(cause) => Some(cause),
             _ => None,
         }
     }
@@ -195,12 +195,12 @@
     /// Returns the status of a waiting job that may be reported to users.
     pub(in crate::coordination) fn status(&self, id: &JobId) -> WaitingStatus {
         let Some(job) = self.jobs.get(id) else { return WaitingStatus::Loading };
-        match self.graph.outlook(id, &self.cancellations_in_doubt) {
-            Outlook::Withdrawn(cause) => WaitingStatus::Withdrawn(cause),
+        match self.graph.dependency_status(id, &self.cancellations_in_doubt) {
+            DependencyStatus::Withdrawn(cause) => WaitingStatus::Withdrawn(cause),
             _ if job.is_outcome_awaited() => WaitingStatus::WriteInProgress,
-            Outlook::InDoubt => WaitingStatus::PrerequisiteInDoubt,
-            Outlook::Unknown => WaitingStatus::PrerequisitesUnknown,
-            Outlook::Waiting => WaitingStatus::Waiting,
+            DependencyStatus::InDoubt => WaitingStatus::PrerequisiteInDoubt,
+            DependencyStatus::Unknown => WaitingStatus::PrerequisitesUnknown,
+            DependencyStatus::Waiting => WaitingStatus::Waiting,
         }
     }
 
@@ -210,25 +210,25 @@
     }
 
     /// Returns `true` if any records have to be written or read.
-    pub(in crate::coordination) fn has_due(&self) -> bool {
-        !self.due.is_empty()
+    pub(in crate::coordination) fn has_due_records(&self) -> bool {
+        !self.due_records.is_empty()
     }
 
     /// Marks the record of a waiting job as due to be written or read.
-    pub(in crate::coordination) fn set_due(&mut self, job: JobId) {
-        self.due.insert(job);
+    pub(in crate::coordination) fn mark_record_due(&mut self, job: JobId) {
+        self.due_records.insert(job);
     }
 
     /// Marks the record of a waiting job as not due.
-    pub(in crate::coordination) fn clear_due(&mut self, job: &JobId) {
-        self.due.remove(job);
+    pub(in crate::coordination) fn clear_record_due(&mut self, job: &JobId) {
+        self.due_records.remove(job);
     }
 
     /// Returns the jobs whose records may be written or read now, in that order. Jobs with a call in flight, and jobs
     /// whose last call failed less than `retry_pause` ago, are left out.
-    pub(in crate::coordination) fn due_jobs(&self, now: Time, retry_pause: Span) -> Vec<JobId> {
+    pub(in crate::coordination) fn jobs_with_due_records(&self, now: Time, retry_pause: Span) -> Vec<JobId> {
         let mut due: Vec<WriteOrder> = self
-            .due
+            .due_records
             .iter()
             .filter(|id| self.jobs.get(id).is_some_and(|job| job.may_call(now, retry_pause)))
             .map(|id| self.write_order(id))
@@ -263,7 +263,7 @@
         let cause = self.withdrawn_with(id);
         Some(if job.is_outcome_unknown() {
             RecordStep::Read
-        } else if job.is_cancelled() || cause.is_some() {
+        } else if job.is_cancel_requested() || cause.is_some() {
             RecordStep::End { cause }
         } else if self.graph.is_ready(id) {
             RecordStep::Release
--- a/src/coordination/waiting_jobs/waiting_job.rs
+++ b/src/coordination/waiting_jobs/waiting_job.rs
@@ -20,7 +20,7 @@
     /// Number of part records that hold the job's prerequisites; 0 if the live record names them.
     parts: u32,
     /// `true` if the user has asked to cancel the job.
-    cancelled: bool,
+    cancel_requested: bool,
     /// Requesters that wait for the cancellation to become durable.
     cancel_requesters: Vec<Requester>,
     /// `true` while a read or write of the record is in flight.
@@ -45,7 +45,7 @@
             accepted_ms,
             start_watermark,
             parts,
-            cancelled: false,
+            cancel_requested: false,
             cancel_requesters: Vec::new(),
             call_in_flight: false,
             outcome_unknown: false,
@@ -60,8 +60,8 @@
     }
 
     /// Returns `true` if the user has asked to cancel the job.
-    pub fn is_cancelled(&self) -> bool {
-        self.cancelled
+    pub fn is_cancel_requested(&self) -> bool {
+        self.cancel_requested
     }
 
     /// Returns `true` if a write had no answer, so that the record has to be read again.
@@ -72,7 +72,7 @@
     /// Returns `true` if a user may be waiting for the outcome of a write: the user has asked to cancel the job, or a
     /// write had no answer.
     pub fn is_outcome_awaited(&self) -> bool {
-        self.cancelled || self.outcome_unknown
+        self.cancel_requested || self.outcome_unknown
     }
 
     /// Returns `true` while a read or write of the record is in flight.
@@ -110,7 +110,7 @@
 
     /// Marks the job as cancelled by its user.
     pub fn request_cancellation(&mut self) {
-        self.cancelled = true;
+        self.cancel_requested = true;
     }
 
     /// Adds a requester that is answered once the cancellation is durable or has failed.
@@ -140,13 +140,13 @@
     }
 
     /// Records that a read or write had no conclusive answer, so that the record has to be read again.
-    pub fn outcome_lost(&mut self, now: Time) {
+    pub fn mark_outcome_unknown(&mut self, now: Time) {
         self.outcome_unknown = true;
         self.failed_at = Some(now);
     }
 
     /// Records that a write of the final record had no answer and may still be executed.
-    pub fn final_write_lost(&mut self) {
+    pub fn mark_final_write_in_doubt(&mut self) {
         self.final_write_in_doubt = true;
     }
 
