--- a/src/coordination/user_requests/submission.rs
+++ b/src/coordination/user_requests/submission.rs
@@ -80,7 +80,8 @@
     /// Returns the shard that a job belongs to, or `None` if its team is not configured.
     ///
     /// All jobs of a team belong to one shard, so that a team's quota is enforced in one place and all its jobs can use
-    /// all machines that run its work. A partly occupied machine could not be moved to another shard.
+    /// all machines that run its work. If the jobs were spread over several shards, partly occupied machines could not
+    /// follow the work from one shard to another.
     fn shard_for(&self, spec: &JobSpec) -> Option<ShardId> {
         let position = self.settings.teams.keys().position(|team| *team == spec.team)?;
         Some(ShardId(position as u32 % self.settings.team_shards()))
