--- a/src/coordination/user_requests/handoff.rs
+++ b/src/coordination/user_requests/handoff.rs
@@ -1,8 +1,8 @@
-//! Jobs that another controller accepted for a shard that this node leads.
+//! Hand-off of jobs: adopting jobs that another controller accepted for a shard led by this node.
 
 use super::super::controller::Controller;
 use super::super::job_record_reads::{JobRecordAnswer, JobRecordKind};
-use super::adoption::{Adoption, AdoptionSource};
+use super::adoption::{AdoptionOutcome, AdoptionSource};
 use super::operations::{HandoffRecord, UserOperation};
 use crate::coordination::leadership_term::LeadershipTerm;
 use crate::coordination::state_admission::TrafficClass;
@@ -13,13 +13,13 @@
 use crate::time::Time;
 
 impl Controller {
-    /// Begins to adopt the job of a hand-off record if this node leads its shard. `key` may be that of any record.
+    /// Begins to adopt the job of a hand-off record if this node leads its shard. Keys of other records are ignored.
     pub(in crate::coordination) fn handoff_seen(&mut self, key: &str, version: Revision) {
         let Some((shard_id, job)) = keys::parse_handoff(key) else { return };
         let Some(shard) = self.shards.get(&shard_id).filter(|shard| shard.is_active()) else { return };
         let leadership = shard.leadership_term();
         let is_known = shard.has(&job) || self.directory.has_ended(&job);
-        if !self.may_decide(shard_id) || self.users.is_handling(key) || !self.admits(TrafficClass::Adoption) {
+        if !self.may_decide(shard_id) || self.users.is_handoff_in_flight(key) || !self.admits(TrafficClass::Adoption) {
             return;
         }
         self.users.begin_handoff(key);
@@ -27,50 +27,50 @@
         if is_known {
             return self.remove_handoff(leadership, handoff);
         }
-        let operation = UserOperation::ReadHandoff { leadership, handoff, sent: self.now };
+        let operation = UserOperation::ReadHandoff { leadership, handoff, sent_at: self.now };
         self.call_state(JobRecordKind::Live.request(&job), operation);
     }
 
-    /// Handles the answer to the read of a handed-off job's record that was sent at `sent`.
+    /// Handles the answer to the read of a handed-off job's live record that was sent at `sent_at`.
     pub(super) fn handoff_read(
         &mut self,
         leadership: LeadershipTerm,
         handoff: HandoffRecord,
-        sent: Time,
+        sent_at: Time,
         answer: StateResult,
     ) {
         let shard_id = leadership.shard;
         if self.shard_in_term(leadership).is_none() {
             return self.users.finish_handoff(&handoff.key);
         }
-        match self.adopt_handed_off(shard_id, sent, answer) {
-            Adoption::Settled => {
+        match self.adopt_handed_off(shard_id, sent_at, answer) {
+            AdoptionOutcome::Settled => {
                 self.admit_next_step(TrafficClass::Adoption);
                 self.remove_handoff(leadership, handoff);
             }
-            // The hand-off record stays and is seen again.
-            Adoption::Retry => self.users.finish_handoff(&handoff.key),
+            // The hand-off record remains and is processed when it is next seen.
+            AdoptionOutcome::Retry => self.users.finish_handoff(&handoff.key),
         }
     }
 
-    /// Adopts the job if its record was read and it belongs to the shard.
-    fn adopt_handed_off(&mut self, shard_id: ShardId, sent: Time, answer: StateResult) -> Adoption {
+    /// Adopts the job if its live record was read and belongs to the shard.
+    fn adopt_handed_off(&mut self, shard_id: ShardId, sent_at: Time, answer: StateResult) -> AdoptionOutcome {
         match JobRecordKind::Live.interpret(answer) {
             JobRecordAnswer::Live(found) if found.record.decided_in() == shard_id => {
-                self.adopt_from_record(shard_id, *found, sent, AdoptionSource::Handoff)
+                self.adopt_from_record(shard_id, *found, sent_at, AdoptionSource::Handoff)
             }
-            JobRecordAnswer::Unanswered => Adoption::Retry,
-            // The job has ended, or there is nothing that this shard could adopt.
-            _ => Adoption::Settled,
+            JobRecordAnswer::Unanswered => AdoptionOutcome::Retry,
+            // The job has ended, belongs to another shard, or has no readable record: there is nothing to adopt.
+            _ => AdoptionOutcome::Settled,
         }
     }
 
-    /// Removes a hand-off record that is not needed any more.
+    /// Removes a hand-off record that is no longer needed.
     fn remove_handoff(&mut self, leadership: LeadershipTerm, handoff: HandoffRecord) {
         let HandoffRecord { key, version } = handoff;
         let conditions = vec![leadership.condition(), Condition::version(key.clone(), version)];
         let request = StateCall::Commit { conditions, changes: vec![Change::Delete(key.clone())] };
-        // The answer does not matter: a hand-off record that is still there is seen again.
+        // A failure needs no handling: a hand-off record that still exists is processed when it is next seen.
         self.call_state(request, UserOperation::RemoveHandoff { handoff: key });
     }
 }
