--- a/crates/reconciliation/src/answer_loss.rs
+++ b/crates/reconciliation/src/answer_loss.rs
@@ -1,49 +1,54 @@
-//! Detects machines whose heartbeats arrive, while the leader's answers and commands do not reach them: a one-way
-//! partition. Such a machine would be given the first tasks of the queue again and again, and start none of them.
+//! Detection of answer loss: a one-way network partition in which the heartbeats of a machine arrive, but the leader's
+//! answers and commands do not reach the machine. Such a machine would be assigned the first tasks of the queue again
+//! and again, and start none of them.
 //!
-//! Silence does not show answer loss; what heartbeats fail to show does: commands without effect, a fencing token that
-//! is not adopted, an agent epoch that rises although heartbeats were answered. A single miss may be a lost packet.
+//! Answer loss shows in the heartbeats that arrive, not in silence: commands have no effect, the fencing token is not
+//! adopted, or the agent epoch rises although heartbeats were answered. A single such miss may be a lost packet and does
+//! not count as answer loss.
 
 use crowstall_model::model::AgentEpoch;
 use crowstall_model::time::{Span, Time};
 
-/// After this many misses in a row a machine counts as losing its answers.
+/// Number of consecutive misses after which a machine counts as losing its answers.
 const MISSES_FOR_LOSS: u32 = 2;
-/// An epoch that rises sooner than this part of the worker lease after an answer shows that the answer was lost.
+/// Fraction of the worker lease after an answer within which a rise of the epoch shows that the answer was lost.
 const RECENT_ANSWER_FRACTION: f64 = 0.5;
-/// How much longer than the worker lease an epoch must last to show that answers arrive.
+/// Time beyond the worker lease that an epoch must last to show that answers arrive.
 const EPOCH_ALLOWANCE: Span = Span::millis(1000);
 
-/// What a heartbeat shows of the answer to the heartbeat before it.
+/// Evidence in a heartbeat that the machine received the answer to its previous heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerEvidence {
-    /// The heartbeat has something that the machine can only know from the answer.
+    /// The heartbeat contains something that the machine can know only from the answer.
     Received,
-    /// The heartbeat lacks all that the answer should have caused.
+    /// The heartbeat contains nothing of what the answer should have caused.
     Missing,
-    /// The answer had nothing that the heartbeat could show.
+    /// The answer contained nothing that the heartbeat could show.
     NotExpected,
 }
 
-/// The agent epoch of a machine's newest heartbeat.
+/// Agent epoch of a machine's newest heartbeat.
 #[derive(Clone, Copy, Debug)]
 struct CurrentEpoch {
     epoch: AgentEpoch,
-    /// When the first heartbeat of the epoch arrived.
+    /// Arrival time of the first heartbeat of the epoch.
     since: Time,
 }
 
-/// Detects whether one machine loses the answers of the leader.
+/// Detector of answer loss for one machine.
 #[derive(Clone, Debug, Default)]
 pub struct AnswerLossDetector {
+    /// Number of misses since an answer last showed to have arrived.
     misses: u32,
+    /// `None` before the first heartbeat.
     current_epoch: Option<CurrentEpoch>,
+    /// Time of the miss at which answer loss was detected. `None` while none is detected.
     loss_since: Option<Time>,
 }
 
 impl AnswerLossDetector {
-    /// Records a heartbeat that is newer than all before. `last_answered` is when a heartbeat of the machine was last
-    /// answered; an epoch lasts `worker_lease` without a received answer.
+    /// Records a heartbeat that is newer than all before. `last_answered` is the time at which a heartbeat of the machine
+    /// was last answered. A worker that receives no answer for `worker_lease` ends its epoch.
     pub fn record_heartbeat(
         &mut self,
         now: Time,
@@ -56,7 +61,7 @@
         match answer_evidence {
             AnswerEvidence::Received => self.reset(),
             AnswerEvidence::Missing => self.record_miss(now),
-            // Without any received answer the epoch would have ended by now.
+            // If no answer had been received, the epoch would have ended by now.
             AnswerEvidence::NotExpected if now.since(epoch_since) > worker_lease.stretched() + EPOCH_ALLOWANCE => {
                 self.reset();
             }
@@ -64,18 +69,19 @@
         }
     }
 
-    /// Returns since when the machine has lost its answers, if it does.
+    /// Returns the time at which answer loss was detected, or `None` if the machine is not known to lose its answers.
     pub fn loss_since(&self) -> Option<Time> {
         self.loss_since
     }
 
-    /// Returns when the first heartbeat of the epoch arrived. A new epoch soon after an answer counts as a miss.
+    /// Records the epoch of a heartbeat and returns the arrival time of the epoch's first heartbeat. A new epoch soon
+    /// after an answer counts as a miss.
     fn record_epoch(&mut self, now: Time, epoch: AgentEpoch, last_answered: Option<Time>, worker_lease: Span) -> Time {
         let since = match self.current_epoch {
             Some(current) if current.epoch == epoch => current.since,
             previous => {
-                // A machine that was paused or cut off has had no answer for a whole lease, and is no case of
-                // answer loss.
+                // A machine that was paused or disconnected was not answered for a whole worker lease, so its new
+                // epoch is no sign of answer loss.
                 let was_answered_recently =
                     last_answered.is_some_and(|at| now.since(at) < worker_lease.times(RECENT_ANSWER_FRACTION));
                 if previous.is_some() && was_answered_recently {
--- a/crates/reconciliation/src/lib.rs
+++ b/crates/reconciliation/src/lib.rs
@@ -1,20 +1,20 @@
 //! Recovery of a shard after a failover.
 //!
-//! A new leader has the records: which jobs are live, which tasks are done, and which machines there are. Which task
-//! runs on which machine is in no record; only the machines can tell. Until a machine has answered in the new
-//! leadership term it is *unreconciled*, and any task that a former leader may have started could be on it.
+//! The records that a new leader reads name the live jobs, their completed tasks, and the machines. No record tells
+//! which task runs on which machine; the leader has to query the machines. Until a machine has answered in the new
+//! leadership term it is *unreconciled*, and any task that a former leader may have started could be running on it.
 //!
-//! [`Recovery`] keeps what is known about that for one shard in one leadership term, and answers three questions:
+//! [`Recovery`] tracks the recovery of one shard in one leadership term. Its parts are:
 //!
-//! - **which machines to query next** (`sweep`): the largest first, at the pace of their answers;
-//! - **what may be started meanwhile** (`unreconciled_machines`): for each job, team and zone by itself, what an
-//!   unreconciled machine could be running;
-//! - **how far the recovery has come** (`stage`): every milestone with its time.
+//! - `sweep`: chooses the machines to query next, the largest first, at the pace of their answers;
+//! - `unreconciled_machines`: bounds, for each job, team and zone, what unreconciled machines could be running, and so
+//!   which tasks may be started before all machines are reconciled;
+//! - `stage`: records the progress of the recovery, every milestone with its time.
 //!
 //! [`answer_loss`] detects machines that do not receive the leader's answers.
 //!
-//! Nothing in this crate performs I/O or reads a clock. The invariants that its answers rest on, with their proofs,
-//! are in `docs/reconciliation.md`.
+//! Nothing in this crate performs I/O or reads a clock. The invariants behind these bounds, with their proofs, are in
+//! `docs/reconciliation.md`.
 
 #![warn(missing_docs)]
 
@@ -31,20 +31,22 @@
 use unreconciled_machines::UnreconciledMachines;
 pub use unreconciled_machines::{MachineClass, TeamLimit};
 
-/// The recovery of one shard in one leadership term.
+/// Progress of the recovery of one shard in one leadership term.
 pub struct Recovery {
     timeline: Timeline,
     sweep: Sweep,
     unreconciled_machines: UnreconciledMachines,
-    /// Whether what may be started is decided for each job and team by itself, rather than for all of them at once.
+    /// `true` if it is decided for each job and team separately which tasks may be started. Otherwise no task in doubt is
+    /// started before all machines are reconciled.
     piecewise: bool,
 }
 
 impl Recovery {
-    /// Begins the recovery when the leadership was acquired, at `acquired_at`.
+    /// Creates the recovery of a shard whose leadership was acquired at `acquired_at`.
     ///
-    /// At most `max_queries` machines are queried at a time. If `piecewise`, what may be started is decided for each
-    /// job and team by itself; otherwise nothing in doubt is started before all machines are reconciled.
+    /// At most `max_queries` machines are queried at a time, not counting overdue queries. If `piecewise` is `true`, it
+    /// is decided for each job and team separately which tasks may be started; otherwise no task in doubt is started
+    /// before all machines are reconciled.
     pub fn acquired(acquired_at: Time, max_queries: usize, piecewise: bool) -> Recovery {
         Recovery {
             timeline: Timeline::new(acquired_at),
@@ -54,66 +56,67 @@
         }
     }
 
-    /// Returns how far the recovery has come.
+    /// Returns the present stage.
     pub fn stage(&self) -> Stage {
         self.timeline.stage()
     }
 
-    /// Returns when the leadership was acquired.
+    /// Returns the time at which the leadership was acquired.
     pub fn acquired_at(&self) -> Time {
         self.timeline.acquired_at()
     }
 
-    /// Whether the records are in memory, so that client requests and worker heartbeats can be served.
+    /// Returns `true` if the records are in memory, so that client requests and worker heartbeats can be served.
     pub fn is_loaded(&self) -> bool {
         self.stage() != Stage::Acquired
     }
 
-    /// Whether all machines are reconciled.
+    /// Returns `true` if all machines are reconciled.
     pub fn is_complete(&self) -> bool {
         self.unreconciled_machines.is_empty()
     }
 
-    /// Begins to load the records anew.
+    /// Discards all machines, so that the records can be loaded again from the beginning.
     pub fn restart_loading(&mut self) {
         self.sweep.clear();
         self.unreconciled_machines = UnreconciledMachines::default();
     }
 
-    /// Adds a machine that a former leader may have used. `size` is its capacity, as far as known.
+    /// Adds an unreconciled machine: a former leader may have started tasks on it. `size` is its capacity, zero if that is
+    /// unknown; larger machines are queried first.
     pub fn inherit(&mut self, id: &MachineId, class: MachineClass, size: Resources) {
         self.unreconciled_machines.add(id.clone(), class);
         self.sweep.add(id.clone(), size);
     }
 
-    /// Records that all records have been read, with the number of live jobs.
+    /// Records that all records have been read. `jobs` is the number of live jobs among them.
     pub fn loaded(&mut self, now: Time, jobs: usize) {
         self.timeline.loaded(now, jobs, self.unreconciled_machines.len());
     }
 
-    /// Returns the machines to query now; they count as queried from now on.
+    /// Returns the machines to query now. The caller must query each of them at once: they count as queried.
     pub fn next_queries(&mut self, now: Time) -> Vec<MachineId> {
         self.sweep.next(now)
     }
 
-    /// Records that the caller has queried a machine again at once, since the query was for another agent epoch than
-    /// the machine's.
+    /// Records that the caller has immediately queried a machine again, because the previous query named another agent
+    /// epoch than the machine's.
     pub fn queried_again(&mut self, id: &MachineId, now: Time) {
         self.sweep.queried(id, now);
     }
 
-    /// Records that a query had no usable answer. The machine will be queried again later.
+    /// Records that a query had no usable answer. The machine is queried again after a backoff.
     pub fn unanswered(&mut self, id: &MachineId, now: Time) {
         self.sweep.unanswered(id, now);
     }
 
-    /// Records that the caller cannot keep up with the answers: fewer machines are queried at a time.
+    /// Records that the caller cannot keep up with the answers. Halves the number of machines that are queried at a time.
     pub fn overloaded(&mut self) {
         self.sweep.shrink_window();
     }
 
-    /// Records that it is known what runs on a machine. Returns whether tasks may be started because of that which
-    /// could not be started before.
+    /// Removes a machine from the unreconciled ones, since it is now known what runs on it. Returns `true` if it was the
+    /// last unreconciled machine of its class, so that more tasks may be started than before.
     pub fn reconciled(&mut self, id: &MachineId, now: Time) -> bool {
         self.sweep.reconciled(id, now);
         let was_last_of_class = self.unreconciled_machines.remove(id);
@@ -121,7 +124,7 @@
         was_last_of_class
     }
 
-    /// Records that an attempt of a former leader runs on a machine that was just reconciled.
+    /// Records that an attempt of a former leader was found running on a machine that was just reconciled.
     pub fn record_found_attempt(&mut self, team: &Name, resources: &Resources) {
         self.unreconciled_machines.record_found_attempt(team, resources);
     }
@@ -131,17 +134,18 @@
         self.timeline.record_task_start(now);
     }
 
-    /// Whether a task of the job that has not been found may run on an unreconciled machine.
+    /// Returns `true` if a task of the job that was not found yet may be running on an unreconciled machine.
     pub fn may_be_running(&self, job: &JobSpec) -> bool {
         self.may_be_running_on(job, |_| true)
     }
 
-    /// Whether a task of the job that has not been found may run on an unreconciled machine of the zone.
+    /// Returns `true` if a task of the job that was not found yet may be running on an unreconciled machine of the zone.
     pub fn may_be_running_in(&self, job: &JobSpec, zone: &Name) -> bool {
         self.may_be_running_on(job, |class| class.zone == *zone)
     }
 
-    /// Whether a task of the job that has not been found may run on an unreconciled machine of any other zone.
+    /// Returns `true` if a task of the job that was not found yet may be running on an unreconciled machine of any other
+    /// zone.
     pub fn may_be_running_outside(&self, job: &JobSpec, zone: &Name) -> bool {
         self.may_be_running_on(job, |class| class.zone != *zone)
     }
@@ -154,8 +158,9 @@
         }
     }
 
-    /// Returns the most that a team may be using on unreconciled machines and on those counted in `others`.
-    /// `capacity` returns the capacity of a machine type.
+    /// Returns an upper bound of the resources that a team may be using on the unreconciled machines and on further
+    /// machines whose total capacity is `others`. `capacity` returns the capacity of a machine type. If `limit` is
+    /// `None`, the total capacity is the only bound.
     pub fn max_unreconciled_usage(
         &self,
         team: &Name,
@@ -166,17 +171,17 @@
         self.unreconciled_machines.max_usage(team, limit.filter(|_| self.piecewise), capacity, others)
     }
 
-    /// Returns the milestones reached since the previous call, in order.
+    /// Returns the milestones reached since the previous call, in the order of [`Milestone`]'s variants.
     pub fn take_milestones(&mut self) -> Vec<Milestone> {
         self.timeline.take_unreported()
     }
 
-    /// Returns the course of the recovery so far.
+    /// Returns the report of the recovery for operators.
     pub fn summary(&self, now: Time) -> Summary {
         self.timeline.summary(now, self.sweep.queries(), self.sweep.answer_times())
     }
 
-    /// Returns how long after the leadership was acquired a milestone was reached, if it was.
+    /// Returns the time from the acquisition of the leadership to a milestone, or `None` if it is not reached yet.
     pub fn time_to(&self, milestone: Milestone) -> Option<Span> {
         self.timeline.time_to(milestone)
     }
--- a/crates/reconciliation/src/stage.rs
+++ b/crates/reconciliation/src/stage.rs
@@ -1,34 +1,34 @@
-//! How far the recovery of a shard has come, with the time of every milestone.
+//! Stage of the recovery of a shard, and the time of every milestone.
 
 use crate::sweep::AnswerTimes;
 use crowstall_model::time::{Span, Time};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// The stage that the recovery of a shard is in.
+/// Stage of the recovery of a shard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Stage {
-    /// This node has acquired the leadership; the records are being read.
+    /// This node has acquired leadership of the shard, and the records are being read.
     #[serde(rename = "claimed")]
     Acquired,
-    /// The records are in memory; no machine is reconciled yet.
+    /// The records are in memory, and no machine is reconciled yet.
     Loaded,
-    /// Some machines are reconciled and get tasks, the others are being queried.
+    /// Some machines are reconciled and get tasks, and the others are being queried.
     #[serde(rename = "proving")]
     Reconciling,
     /// All machines are reconciled.
     Serving,
 }
 
-/// A step of the recovery, in the order in which the steps usually come.
+/// Step of the recovery. The variants are in the order in which the steps are usually reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Milestone {
     /// The records are in memory.
     Loaded,
-    /// Half of the machines are reconciled.
+    /// At least half of the machines are reconciled.
     HalfReconciled,
-    /// 99 % of the machines are reconciled.
+    /// At least 99 % of the machines are reconciled.
     NearlyReconciled,
     /// The first task was started in this term.
     FirstTaskStarted,
@@ -56,51 +56,53 @@
     }
 }
 
-/// The course of a recovery, as operators see it. Times are in milliseconds after the leadership was acquired; none
-/// for a milestone that is not reached yet.
+/// Report of a recovery for operators. The times of milestones are in milliseconds after leadership was acquired, and
+/// `None` for a milestone that is not reached yet.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Summary {
-    /// The present stage.
+    /// Present stage.
     pub stage: Stage,
-    /// How long ago the leadership was acquired.
+    /// Time since leadership was acquired, in milliseconds.
     pub age_ms: u64,
-    /// The live jobs in the records.
+    /// Number of live jobs in the records.
     pub jobs: usize,
-    /// The machines that a former leader may have used.
+    /// Number of machines that a former leader may have used.
     pub machines: usize,
-    /// How many of them are not reconciled yet.
+    /// Number of machines that are not reconciled yet.
     #[serde(rename = "unproven")]
     pub unreconciled: usize,
-    /// When the records were in memory.
+    /// Time at which the records were in memory.
     pub loaded_ms: Option<u64>,
-    /// When half of the machines were reconciled.
+    /// Time at which half of the machines were reconciled.
     #[serde(rename = "half_proven_ms")]
     pub half_reconciled_ms: Option<u64>,
-    /// When 99 % of the machines were reconciled.
+    /// Time at which 99 % of the machines were reconciled.
     #[serde(rename = "nearly_proven_ms")]
     pub nearly_reconciled_ms: Option<u64>,
-    /// When the first task was started.
+    /// Time at which the first task was started.
     #[serde(rename = "first_bind_ms")]
     pub first_task_started_ms: Option<u64>,
-    /// When all machines were reconciled.
+    /// Time at which all machines were reconciled.
     pub serving_ms: Option<u64>,
-    /// How many queries were sent to machines.
+    /// Number of queries that were sent to machines.
     #[serde(rename = "asks")]
     pub queries: u64,
-    /// The median time until a machine answered.
+    /// Median time from a query to its answer, in milliseconds. `None` without any answer.
     pub answer_p50_ms: Option<u64>,
-    /// The 99th percentile of the time until a machine answered.
+    /// 99th percentile of the time from a query to its answer, in milliseconds. `None` without any answer.
     pub answer_p99_ms: Option<u64>,
 }
 
-/// The milestones of one recovery and the counts that they follow from.
+/// Milestones of one recovery, and the counts of machines that determine them.
 pub(crate) struct Timeline {
     acquired_at: Time,
-    /// When each milestone, by its discriminant, was reached.
+    /// Time at which each milestone was reached, by the discriminant of the milestone.
     reached_at: [Option<Time>; ALL_MILESTONES.len()],
-    /// Which milestones were returned by `take_unreported`.
+    /// `true` for each milestone, by its discriminant, that `take_unreported` has returned.
     is_reported: [bool; ALL_MILESTONES.len()],
+    /// Number of live jobs in the records.
     jobs: usize,
+    /// Largest number of unreconciled machines so far.
     machines: usize,
     unreconciled: usize,
 }
@@ -139,9 +141,9 @@
         self.unreconciled_left(now, machines);
     }
 
-    /// Records how many machines are not reconciled yet.
+    /// Records the number of machines that are not reconciled yet.
     pub(crate) fn unreconciled_left(&mut self, now: Time, unreconciled: usize) {
-        // The number can rise: a machine transfer may add a machine during the recovery.
+        // The number can rise, because a machine transfer may add a machine during the recovery.
         self.machines = self.machines.max(unreconciled);
         self.unreconciled = unreconciled;
         if !self.has_reached(Milestone::Loaded) {
--- a/crates/reconciliation/src/sweep.rs
+++ b/crates/reconciliation/src/sweep.rs
@@ -1,6 +1,6 @@
-//! The sweep: queries all unreconciled machines, as many at a time as the answers keep up with.
+//! The sweep, in which a new leader queries all unreconciled machines.
 //!
-//! The number of queries in flight is bounded by a window, as in congestion control: it grows by one with every
+//! The number of queries in flight is bounded by a window, as in congestion control: the window grows by one with every
 //! prompt answer and is halved when the leader is overloaded.
 
 use crowstall_model::model::{MachineId, Quantity, Resources};
@@ -9,34 +9,37 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, HashMap};
 
-/// The window at the beginning of a sweep.
+/// Window at the start of a sweep, in queries.
 const INITIAL_WINDOW: f64 = 16.0;
-/// The smallest window, unless the maximum is smaller.
+/// Lower bound of the window, unless the maximum is smaller.
 const MIN_WINDOW: f64 = 8.0;
-/// A query in flight for longer than this does not count towards the window: its machine is more likely gone than
-/// busy.
+/// Time after which a query in flight is overdue and does not count towards the window any more: its machine is more
+/// likely gone than busy.
 const PROMPT_ANSWER: Span = Span::millis(250);
-/// How many times more queries than the largest window may be in flight, overdue ones included. Each of them needs a
-/// socket, even if it will never be answered.
+/// Maximum number of queries in flight, overdue ones included, as a multiple of the maximum window. Each query needs a
+/// socket, even if it is never answered.
 const MAX_SOCKETS_PER_WINDOW: f64 = 4.0;
-/// How long to wait before the second query to a machine that did not answer; doubled with every further query.
+/// Delay before the second query to a machine that did not answer. The delay is doubled with every further query.
 const MIN_RETRY_DELAY: Span = Span::millis(500);
-/// The longest time between two queries to a machine that does not answer.
+/// Upper bound of the delay between two queries to a machine that does not answer.
 const MAX_RETRY_DELAY: Span = Span::millis(4000);
-/// More doublings of the retry delay are not computed; the maximum is reached before.
+/// Upper bound of the number of doublings, which keeps the computation from overflowing. [`MAX_RETRY_DELAY`] is reached
+/// before.
 const MAX_RETRY_DOUBLINGS: u32 = 8;
-/// The longest answer time that the histogram records exactly, in milliseconds.
+/// Longest answer time that the histogram distinguishes, in milliseconds. Longer ones count as this one.
 const MAX_RECORDED_ANSWER_MS: u64 = 60_000;
-/// The precision of the recorded answer times.
+/// Number of significant decimal digits of the recorded answer times.
 const ANSWER_TIME_DIGITS: u8 = 2;
 
-/// The order of machines that wait for a query: the largest first, since most tasks may be hidden there; then by
-/// name, so that the order is deterministic.
+/// Sort key of machines that wait for a query: the largest first, because they may run the most tasks; then by id, so
+/// that the order is deterministic.
 type QueryOrder = (Reverse<Quantity>, MachineId);
 
-/// A machine that is not reconciled yet.
+/// Unreconciled machine in the sweep.
 struct Candidate {
+    /// CPUs of the machine.
     size: Quantity,
+    /// Number of queries without a usable answer.
     failed_queries: u32,
     state: QueryState,
 }
@@ -49,31 +52,32 @@
 
 #[derive(Clone, Copy)]
 enum QueryState {
-    /// The machine is to be queried as soon as the window allows.
+    /// The machine is queried as soon as the window allows.
     Waiting,
-    /// The machine did not answer, and is to be queried again from that time on.
+    /// The machine did not answer. It waits for a query again from the given time on.
     BackingOff(Time),
-    /// A query is in flight since that time.
+    /// A query has been in flight since the given time.
     InFlight(Time),
 }
 
-/// How long answers took.
+/// Distribution of the time from a query to its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct AnswerTimes {
     pub(crate) median: Span,
-    /// The 99th percentile.
+    /// 99th percentile.
     pub(crate) p99: Span,
 }
 
 pub(crate) struct Sweep {
     candidates: HashMap<MachineId, Candidate>,
-    /// The candidates by their state, each set in the order in which they are due.
+    /// Candidates in each state, in the order in which they are due.
     waiting: BTreeSet<QueryOrder>,
     backing_off: BTreeSet<(Time, MachineId)>,
     in_flight: BTreeSet<(Time, MachineId)>,
-    /// How many queries may be in flight that are no older than `PROMPT_ANSWER`.
+    /// Maximum number of queries in flight that are not older than `PROMPT_ANSWER`.
     window: f64,
     max_window: f64,
+    /// Number of queries sent so far.
     queries: u64,
     /// Answer times in milliseconds.
     answer_times: Option<Histogram<u32>>,
@@ -126,7 +130,7 @@
         }
     }
 
-    /// Records that a machine is reconciled, by its answer or in another way.
+    /// Removes a machine that is reconciled, by the answer to a query or in another way, for example by a heartbeat.
     pub(crate) fn reconciled(&mut self, id: &MachineId, now: Time) {
         let Some(Candidate { state: QueryState::InFlight(since), .. }) = self.remove(id) else { return };
         let answer_time = now.since(since);
@@ -138,7 +142,7 @@
         }
     }
 
-    /// Records that a query in flight had no usable answer.
+    /// Records that a query in flight had no usable answer, and schedules the next query to the machine.
     pub(crate) fn unanswered(&mut self, id: &MachineId, now: Time) {
         let Some(candidate) = self.candidates.get_mut(id) else { return };
         if !matches!(candidate.state, QueryState::InFlight(_)) {
@@ -150,17 +154,17 @@
         self.set_state(id, QueryState::BackingOff(now + retry_delay));
     }
 
-    /// Halves the window.
+    /// Halves the window, down to its lower bound.
     pub(crate) fn shrink_window(&mut self) {
         self.window = (self.window / 2.0).max(MIN_WINDOW.min(self.max_window));
     }
 
-    /// Returns how many queries were sent.
+    /// Returns the number of queries that were sent.
     pub(crate) fn queries(&self) -> u64 {
         self.queries
     }
 
-    /// Returns how long answers took, if there were any.
+    /// Returns the distribution of answer times, or `None` if there was no answer.
     pub(crate) fn answer_times(&self) -> Option<AnswerTimes> {
         let answer_times = self.answer_times.as_ref().filter(|answer_times| !answer_times.is_empty())?;
         let at_quantile = |quantile| Span::millis(answer_times.value_at_quantile(quantile));
@@ -175,7 +179,7 @@
         }
     }
 
-    /// Returns how many more queries may be sent now.
+    /// Returns the number of further queries that may be sent now.
     fn free_queries(&self, now: Time) -> usize {
         let recent = self.in_flight.iter().rev().take_while(|(since, _)| now.since(*since) < PROMPT_ANSWER).count();
         let max_sockets = (MAX_SOCKETS_PER_WINDOW * self.max_window) as usize;
--- a/crates/reconciliation/src/unreconciled_machines.rs
+++ b/crates/reconciliation/src/unreconciled_machines.rs
@@ -1,36 +1,37 @@
-//! The unreconciled machines: where tasks that a former leader started may still run, and how much each team may be
-//! using there.
+//! The unreconciled machines, on which tasks that a former leader started may still be running, and upper bounds of the
+//! resources that each team may be using on them.
 
 use crowstall_model::model::{JobSpec, MachineId, Name, Quantity, Resources};
 use std::collections::{BTreeMap, HashMap};
 
-/// The properties of a machine by which a job can choose where it may run.
+/// Properties of a machine by which a job can restrict the machines that it runs on.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct MachineClass {
-    /// The machine type.
+    /// Name of the machine type.
     pub kind: Name,
-    /// The zone that the machine is in.
+    /// Zone of the machine.
     pub zone: Name,
-    /// Whether it is a spot machine.
+    /// `true` for a spot machine.
     pub spot: bool,
 }
 
-/// The quota of a team: what it may use at most. None is no limit.
+/// Quota of a team. `None` means that the resource is not limited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TeamLimit {
-    /// The CPUs that the team may use.
+    /// Maximum CPUs that the team may use.
     pub cpus: Option<Quantity>,
-    /// The GPUs that the team may use.
+    /// Maximum GPUs that the team may use.
     pub gpus: Option<Quantity>,
 }
 
+/// Unreconciled machines of one shard, and the resources of the attempts that were found on reconciled ones.
 #[derive(Default)]
 pub(crate) struct UnreconciledMachines {
     machines: BTreeMap<MachineId, MachineClass>,
-    /// The number of unreconciled machines of each class: few entries, whatever the size of the fleet.
+    /// Number of unreconciled machines of each class. Has few entries, whatever the size of the fleet.
     count_by_class: BTreeMap<MachineClass, u64>,
-    /// What the attempts use, by team, that were found running when their machines were reconciled. It is not reduced
-    /// when they end; see `max_usage`.
+    /// Resources, by team, of the attempts that were found running when their machines were reconciled. Not reduced when
+    /// these attempts end; see `max_usage`.
     found_by_team: HashMap<Name, Resources>,
 }
 
@@ -41,8 +42,8 @@
         }
     }
 
-    /// Removes a machine and returns whether it was the last unreconciled one of its class. Only then may a task be
-    /// startable that was not before.
+    /// Removes a machine. Returns `true` if it was the last unreconciled machine of its class: only then may tasks be
+    /// started that could not be started before.
     pub(crate) fn remove(&mut self, id: &MachineId) -> bool {
         let Some(class) = self.machines.remove(id) else { return false };
         let Some(count) = self.count_by_class.get_mut(&class) else { return false };
@@ -67,22 +68,24 @@
         *found = found.plus(resources);
     }
 
-    /// Whether a task of the job may run on an unreconciled machine of the considered classes. A leader starts a task
-    /// only where its job allows that, so it cannot run on a machine of any other class.
+    /// Returns `true` if a task of the job may be running on an unreconciled machine of the considered classes. Leaders
+    /// start a task only on machines of classes that its job allows, so it cannot be running on any other.
     pub(crate) fn may_be_running(&self, job: &JobSpec, is_considered: impl Fn(&MachineClass) -> bool) -> bool {
         let is_possible =
             |class: &MachineClass| is_considered(class) && job.allows(&class.kind, &class.zone, class.spot);
         self.count_by_class.keys().any(is_possible)
     }
 
-    /// Returns the most that a team may be using on the unreconciled machines and on those counted in `others`: their
-    /// whole capacity, but no more than the team's limit less what was found running.
+    /// Returns an upper bound of the resources that a team may be using on the unreconciled machines and on further
+    /// machines whose total capacity is `others`: their whole capacity, but no more than the team's limit less the
+    /// resources of the attempts that were found running.
     ///
-    /// Why the limit bounds it: consider the moment when the last former leader started its last task. Every attempt
-    /// of a former leader that runs now was running or on its way then, and its resources were accounted for. So the
-    /// attempts found since and those still hidden ran at the same time. Together they were within the limit then,
-    /// and they have only become fewer. Hence the hidden ones use at most the limit less what was found, even after
-    /// some of the attempts found have ended; therefore the end of an attempt makes room for a new one.
+    /// The limit is a valid bound for the following reason. Consider the moment at which the last former leader started
+    /// its last task. Every attempt of a former leader that runs now was running or on its way at that moment, and its
+    /// resources were counted against the limit. So the attempts that were found since and those that are not found yet
+    /// were within the limit together, and since then attempts have only ended. Hence those that are not found yet use
+    /// at most the limit less the resources of those that were found, even after some of the latter have ended. The end
+    /// of an attempt that was found therefore makes room for a new one.
     pub(crate) fn max_usage(
         &self,
         team: &Name,
@@ -109,7 +112,7 @@
     Resources { cpus: multiply(resources.cpus), gpus: multiply(resources.gpus), memory: multiply(resources.memory) }
 }
 
-/// Returns what is left of a limit; all there is if there is no limit.
+/// Returns the unused part of a limit. Without a limit it is unbounded.
 fn left_of(limit: Option<Quantity>, used: Quantity) -> Quantity {
     limit.map_or(Quantity(u64::MAX), |limit| Quantity(limit.0.saturating_sub(used.0)))
 }
--- a/crates/reconciliation/tests/answer_loss.rs
+++ b/crates/reconciliation/tests/answer_loss.rs
@@ -1,4 +1,4 @@
-//! Heartbeats of a machine that loses its answers, and of one that was paused.
+//! Answer loss is detected for a machine that receives no answers, and not for a machine that was paused.
 
 use crowstall_model::model::AgentEpoch;
 use crowstall_model::time::{Span, Time};
@@ -19,12 +19,12 @@
     };
     record(0, 1, AnswerEvidence::NotExpected, None);
     let one_miss = record(1000, 1, AnswerEvidence::Missing, Some(0));
-    assert_eq!(one_miss, None, "a single lost answer is no answer loss");
+    assert_eq!(one_miss, None, "a single miss does not count as answer loss");
     let two_misses = record(6000, 1, AnswerEvidence::Missing, Some(1000));
     assert_eq!(two_misses, Some(at(6000)));
     record(11_000, 2, AnswerEvidence::NotExpected, Some(6000));
     let new_epoch = record(16_000, 2, AnswerEvidence::NotExpected, Some(11_000));
-    assert_eq!(new_epoch, Some(at(6000)), "nothing shows that answers arrive");
+    assert_eq!(new_epoch, Some(at(6000)), "a new epoch does not show that answers arrive");
     let lasting_epoch = record(23_000, 2, AnswerEvidence::NotExpected, Some(22_000));
     assert_eq!(lasting_epoch, None, "the epoch has outlasted the worker lease");
 }
--- a/crates/reconciliation/tests/sweep.rs
+++ b/crates/reconciliation/tests/sweep.rs
@@ -1,5 +1,5 @@
-//! Seeded random sweeps: every machine is queried until it is reconciled, none by two queries at a time, and the
-//! queries in flight stay within their bound.
+//! Seeded random sweeps: every machine is queried until it is reconciled, no machine has two queries in flight, and the
+//! number of queries in flight stays within its bound.
 
 use crowstall_model::model::{MachineId, Name, Quantity, Resources};
 use crowstall_model::time::{Span, Time};
@@ -15,7 +15,7 @@
     MachineId::new(&format!("i-{number:06}"))
 }
 
-/// A recovery and the machines that answer its queries.
+/// Recovery under test, and the simulated machines that answer its queries.
 struct Run {
     seed: u64,
     rng: SmallRng,
@@ -46,7 +46,7 @@
         if self.rng.random_bool(0.02) {
             self.recovery.overloaded();
         }
-        // A machine that sends a heartbeat, or is gone, without having been queried.
+        // A machine is reconciled without an answer to a query: it sends a heartbeat, or is gone.
         if self.rng.random_bool(0.05)
             && let Some(id) = self.unreconciled.pop_first()
         {
@@ -62,8 +62,11 @@
     fn send_queries(&mut self) {
         let seed = self.seed;
         for id in self.recovery.next_queries(self.now) {
-            assert!(self.unreconciled.contains(&id), "seed {seed}: {id} is reconciled already");
-            assert!(self.in_flight.insert(id, self.now).is_none(), "seed {seed}: two queries at a time");
+            assert!(self.unreconciled.contains(&id), "seed {seed}: {id} is queried although it is reconciled");
+            assert!(
+                self.in_flight.insert(id, self.now).is_none(),
+                "seed {seed}: a machine is queried while its previous query is in flight"
+            );
         }
         let in_flight = self.in_flight.len();
         assert!(in_flight <= MAX_IN_FLIGHT, "seed {seed}: {in_flight} queries are in flight");
--- a/src/coordination/controller.rs
+++ b/src/coordination/controller.rs
@@ -1,4 +1,4 @@
-//! One controller: the components it is made of, and which of them handles which event.
+//! The controller: its components, and the dispatch of events and answers to them.
 
 use super::cloud::Cloud;
 use super::confirmation::Confirmation;
@@ -34,68 +34,72 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 
-/// The share of the state service's limit on requests that is divided evenly among all controllers: all of them
-/// renew leases and read for users. The rest follows the shards that take the teams' jobs.
+/// Fraction of the state service's limit on requests that is divided evenly among all controllers, because all of them
+/// renew leases and read records for users. The rest goes to the leaders of the shards that take the teams' jobs.
 const EVEN_SHARE_OF_REQUESTS: f64 = 0.6;
-/// The same for the limits on changes and on calls to the cloud: only controllers with work change much.
+/// Fraction of the limits on writes to the state service and on calls to the cloud that is divided evenly among all
+/// controllers. It is smaller than [`EVEN_SHARE_OF_REQUESTS`], because only controllers that lead shards with jobs
+/// write much.
 const EVEN_SHARE_OF_CHANGES: f64 = 0.25;
 
-/// The state of one controller.
+/// State machine of one controller process.
 ///
-/// Each component owns its state and is defined in the module of the same name, together with the part of the
-/// controller that works on it. `Controller` joins them, passes events to them, and collects the resulting actions.
+/// Each component owns its state and is defined in a module of its own, together with the `impl Controller` block that
+/// works on it. `Controller` joins the components, dispatches events to them, and collects the resulting actions.
 pub struct Controller {
-    /// The platform's settings and the operators' properties.
+    /// Settings file of the platform and properties file of the operators.
     pub(super) settings: Settings,
-    /// Distinguishes this process from earlier and later ones of the same label.
+    /// Number that distinguishes this process from earlier and later processes of the same node label.
     pub(super) incarnation: u64,
-    /// When this process started.
+    /// Start time of this process.
     pub(super) started: Time,
-    /// The steady clock at the event that is being handled.
+    /// Monotonic time at which the current event is handled.
     pub(super) now: Time,
-    /// The time of day at the event that is being handled, in milliseconds.
+    /// Wall clock time at which the current event is handled, in milliseconds since the Unix epoch.
     pub(super) wall_clock_ms: u64,
-    /// Counts attempts and rentals. It never starts over while the process lives, so that names that begin with a
-    /// leadership term are unique even if one process leads two shards one after the other.
+    /// Number of the last attempt or rental that this process has named. It never starts over while the process lives,
+    /// so that names composed of a leadership term and this number stay unique when one process leads two shards one
+    /// after the other.
     pub(super) counter: u64,
-    /// Actions of the current event, and calls to outside services in flight.
+    /// Actions of the current event, calls in flight, and this node's share of the state service's rate limits.
     pub(super) calls: OutboundCalls,
-    /// What was answered lately, for the log.
+    /// Counts of replies and latencies of the state service, which are logged once a minute.
     pub(super) statistics: RequestStatistics,
-    /// This node's lease at the state service, and acquiring, confirming and replacing leadership.
+    /// Node lease at the state service, and acquisition, confirmation and release of leadership of shards.
     pub(super) leadership: NodeLeadership,
-    /// Leadership checks, and answers that are deferred until a leadership term is confirmed.
+    /// Leadership checks in flight, and answers that are deferred until a leadership term is confirmed.
     pub(super) confirmation: Confirmation,
-    /// Which peers are alive and which node leads which shard.
+    /// Liveness of the peers, and the leader of each shard as far as this node knows.
     pub(super) membership: Membership,
-    /// A copy of the records of shards that this node would take over first.
+    /// Copy of the records of the shards that this node is the first to take over after a failure.
     pub(super) replica: Replica,
-    /// The shards that this node leads.
+    /// Shards that this node leads, loaded or still being loaded.
     pub(super) shards: BTreeMap<ShardId, Shard>,
-    /// How the shards of this node were recovered.
+    /// Reports on the recovery of the shards that this node leads or has led.
     pub(super) recoveries: RecoveryLog,
-    /// Requests that were forwarded to other controllers.
+    /// Requests of this node's clients that were forwarded to other controllers and are not answered yet.
     pub(super) forwarded: ForwardedRequests,
-    /// Requests of users that wait for the state service.
+    /// Requests of users that wait for an answer of the state service.
     pub(super) users: UserRequests,
-    /// Where jobs and machines belong, and how jobs have ended.
+    /// Cache of the shards of jobs and machines, and of the final records of ended jobs.
     pub(super) directory: Directory,
-    /// Machines whose records wait to be written.
+    /// Machines that wait until their records may be written.
     pub(super) registrations: Registrations,
-    /// Machines that were deleted.
+    /// Machines that were deleted, whose delayed heartbeats must not register them again.
     pub(super) removed_machines: RemovedMachines,
-    /// Workers whose heartbeats come by way of another controller.
+    /// Workers whose heartbeats this node relays to the leader of their shard.
     pub(super) relays: Relays,
-    /// Idle machines that other controllers offer.
+    /// Idle machines that other controllers offer for transfer.
     pub(super) offers: PeerOffers,
-    /// What is known of the cloud: its catalog, its list of machines, its refusals.
+    /// Knowledge of the cloud: its catalog, its list of machines, and its refusals.
     pub(super) cloud: Cloud,
-    /// Learned run times and promised finish times, if they are enabled.
+    /// Learned run times and promised finish times. `None` if forecasts are disabled.
     pub(super) forecasts: Option<Forecasts>,
 }
 
 impl Controller {
-    /// A controller that leads nothing yet. `incarnation` must differ from that of any other process of the label.
+    /// Creates a controller that leads no shard yet. `incarnation` must differ from that of every other process of the
+    /// same node label.
     pub fn new(settings: Settings, incarnation: u64, clock: Clock) -> Controller {
         let now = clock.steady;
         let shards = settings.shards as usize;
@@ -157,7 +161,7 @@
         self.calls.take_actions()
     }
 
-    /// Tells every shard whether this node may decide for it now.
+    /// Records in every shard whether this node may decide for it now, at the time of the current event.
     fn record_lease_states(&mut self) {
         let (holds_lease, now) = (self.holds_lease(), self.now);
         for shard in self.shards.values_mut() {
@@ -165,19 +169,19 @@
         }
     }
 
-    /// How often this controller broke an invariant of its own. Each time there is a line in the log, and what would have
-    /// followed was refused.
+    /// Returns how many times this controller has violated one of its own invariants. Each time an error is logged and
+    /// the offending call is refused.
     pub fn invariant_violations(&self) -> u64 {
         self.calls.invariant_violations()
     }
 
-    /// How many jobs and machines were inspected so far while handling heartbeats: a measure of their cost that does not
-    /// depend on the clock.
+    /// Returns how many jobs and machines were inspected so far while handling heartbeats: a measure of the cost of
+    /// heartbeats that does not depend on the speed of the machine.
     pub fn inspections(&self) -> u64 {
         self.shards.values().map(|shard| shard.inspections.get()).sum()
     }
 
-    /// Takes this node's share of the limits of the state service and the cloud.
+    /// Recomputes this node's share of the rate limits of the state service and the cloud.
     pub(super) fn share_limits(&mut self) {
         let requests_per_second = self.settings.state_rps * self.share_of_limit(EVEN_SHARE_OF_REQUESTS);
         let share_of_changes = self.share_of_limit(EVEN_SHARE_OF_CHANGES);
@@ -185,9 +189,10 @@
         self.cloud.set_share(self.settings.cloud_rps * share_of_changes);
     }
 
-    /// This node's share of a limit of which the given part is divided evenly among all controllers, and the rest among
-    /// the leaders of the shards that take the teams' jobs. While the leader of a shard cannot be reached its part is
-    /// divided evenly too, since every controller then accepts the shard's jobs.
+    /// Returns this node's fraction of a rate limit. `even_part` of the limit is divided evenly among all
+    /// controllers, and the rest evenly among the shards that take the teams' jobs, for their leaders. While the leader
+    /// of a shard cannot be reached, the fraction of that shard is divided evenly among all controllers too, because
+    /// every controller then accepts the shard's jobs.
     fn share_of_limit(&self, even_part: f64) -> f64 {
         let nodes = self.settings.nodes.len() as f64;
         let team_shards = self.settings.team_shards();
@@ -204,29 +209,29 @@
         even_part / nodes + (1.0 - even_part) * parts / f64::from(team_shards)
     }
 
-    /// The only shard that takes jobs and machines, if there is just one. Then no record has to be read to find out
-    /// which shard a job or a machine belongs to.
+    /// Returns the shard that takes all jobs and machines if there is only one such shard. No record has to be read in
+    /// that case to find the shard of a job or a machine.
     pub(super) fn only_shard(&self) -> Option<ShardId> {
         (self.settings.team_shards() == 1).then_some(ShardId(0))
     }
 
-    /// The shard if this node still leads it in the given term.
+    /// Returns the shard if this node still leads it in the given leadership term.
     pub(super) fn shard_in_term(&mut self, leadership: LeadershipTerm) -> Option<&mut Shard> {
         self.shards.get_mut(&leadership.shard).filter(|shard| shard.term == leadership.term)
     }
 
-    /// The shards that this node leads, has loaded, and may decide about.
+    /// Returns the shards that this node leads, has loaded, and may decide for now.
     pub(super) fn decidable_shards(&self) -> Vec<ShardId> {
         let decidable = |shard: &&Shard| shard.is_active() && self.may_decide(shard.id);
         self.shards.values().filter(decidable).map(|shard| shard.id).collect()
     }
 
-    /// Answers a request of a client of this node or of another controller.
+    /// Sends the reply to a request of a client of this node, or of another controller's client.
     pub(super) fn reply(&mut self, requester: Requester, reply: Reply) {
         match requester {
             Requester::Local(id) => {
                 if reply.retry_after.is_some() {
-                    log::debug!("request refused with Retry-After: {}", reply.body);
+                    log::debug!("request {}: refused with Retry-After: {}", id.0, reply.body);
                 }
                 self.statistics.replied(&reply);
                 self.calls.push(Action::Reply { id, reply });
@@ -240,22 +245,25 @@
         self.calls.push(Action::Send { to, message });
     }
 
-    /// Whether a call of this class may be sent to the state service now. If so it has to be sent at once.
+    /// Returns `true` if a call of this class may be sent to the state service now. The caller must then send it before
+    /// the current event is handled.
     pub(super) fn admits(&mut self, class: TrafficClass) -> bool {
         self.calls.admits(self.now, class)
     }
 
-    /// Admits the next call of an operation whose first call was admitted.
+    /// Admits the next call of an operation whose first call was admitted, whatever the rate limits say: refusing it
+    /// would waste the first call.
     pub(super) fn admit_next_step(&mut self, class: TrafficClass) {
         self.calls.admit_next_step(self.now, class);
     }
 
-    /// Sends a request to the state service on behalf of the component that `operation` belongs to.
+    /// Sends a request to the state service. The answer goes to the component that `operation` belongs to.
     pub(super) fn call_state(&mut self, request: StateCall, operation: impl Into<StateOperation>) {
         self.calls.send_to_state(self.now, request, operation.into());
     }
 
-    /// Sends commands directly to a worker of a shard that this node leads, instead of in an answer to a heartbeat.
+    /// Sends commands directly to the worker of a machine in a shard that this node leads, without waiting for its next
+    /// heartbeat.
     pub(super) fn call_worker(&mut self, shard: ShardId, machine: &MachineId, addr: SocketAddrV4, request: WorkerCall) {
         let Some(leadership) = self.shards.get(&shard).map(Shard::leadership_term) else { return };
         let pending = PendingWorkerCall { leadership, machine: machine.clone() };
@@ -284,7 +292,7 @@
         }
     }
 
-    /// The answer to the load balancer's health check.
+    /// Returns the reply to the load balancer's health check.
     fn health(&self) -> Reply {
         if self.is_ready_for_users() {
             Reply::json(200, &serde_json::json!({}))
@@ -293,13 +301,13 @@
         }
     }
 
-    /// Whether the load balancer should send users to this node.
+    /// Returns `true` if the load balancer should send users to this node.
     ///
-    /// During an outage of the state service no controller holds a lease. All of them stay in the load balancer's list,
-    /// which avoids its delay in taking them back afterwards. If a peer holds a lease and this node does not, users are
-    /// served better there. A node that was started during the outage never had a lease; while its peers have none
-    /// either, it is ready and tells users at once when to retry. A node that reaches no peer may be the only one
-    /// without a lease, so it is not ready.
+    /// A node that knows the machine types and holds a node lease is ready. During an outage of the state service no
+    /// controller holds one. All of them stay ready, because the load balancer would take them back only after a delay
+    /// when the outage ends. The same applies to a node that was started during the outage: it can at least tell users
+    /// at once when to retry. A node without a lease is not ready while a reachable peer holds one, because that peer
+    /// serves users better, nor while it reaches no peer, because it may then be the only node without a lease.
     fn is_ready_for_users(&self) -> bool {
         let mut reachable = self.membership.reachable_peers(self.now).peekable();
         let reaches_any = reachable.peek().is_some() || self.settings.peers.is_empty();
@@ -307,8 +315,9 @@
         self.cloud.has_catalog() && (self.holds_lease() || reaches_any && !peer_holds_lease)
     }
 
-    /// Handles an answer of the state service: records what it says of this node's share of the limits and of its
-    /// leadership, and passes it on unless it has to wait until the term is confirmed.
+    /// Handles an answer of the state service: adjusts the rate limits, records that the service responds, confirms the
+    /// leadership term that the call was conditional on, and dispatches the answer unless it has to wait until its term
+    /// is confirmed.
     fn state_answered(&mut self, pending: PendingStateCall, answer: StateResult) {
         let limit_exceeded = matches!(answer, Err(CallError::Refused { over_limit: true }));
         if limit_exceeded && self.calls.limit_exceeded(self.now, self.settings.state_writes) {
@@ -325,7 +334,7 @@
         }
     }
 
-    /// Passes an answer of the state service to the component that sent the call.
+    /// Dispatches an answer of the state service to the component that sent the call.
     pub(super) fn complete_state_call(&mut self, sent: Time, operation: StateOperation, answer: StateResult) {
         match operation {
             StateOperation::Leadership(operation) => self.leadership_answered(sent, operation, answer),
@@ -339,7 +348,7 @@
         }
     }
 
-    /// Handles a message of another controller. Messages of unknown senders are ignored.
+    /// Handles a message of another controller. Messages of unknown senders, and of this node's own label, are ignored.
     fn handle_peer_message(&mut self, envelope: Envelope) {
         let Envelope { from, message } = envelope;
         if !self.settings.nodes.contains(&from) || from == self.settings.label {
@@ -357,7 +366,7 @@
         }
     }
 
-    /// Handles a request that another controller forwarded because this node leads the shard.
+    /// Handles a request that another controller forwarded to this node as the leader of the shard.
     fn handle_forwarded_request(&mut self, requester: Requester, shard: ShardId, request: ForwardedRequest) {
         if !self.may_handle_forwarded(shard, &request) {
             return self.reply(requester, Reply::busy(BusyReason::NotLeader));
@@ -373,27 +382,29 @@
         }
     }
 
-    /// Whether a request that was forwarded for a shard may be handled here.
+    /// Returns `true` if this node may handle a request that was forwarded for the shard.
     fn may_handle_forwarded(&self, shard: ShardId, request: &ForwardedRequest) -> bool {
         let is_active = self.shards.get(&shard).is_some_and(|shard| shard.is_active());
         match request {
-            // Worker leases are renewed for a grace period after the end of the leader lease, and heartbeats are kept
-            // while the shard's records are being read.
+            // Worker leases are renewed for a grace period after the end of the leader lease, and heartbeats that
+            // arrive while the shard's records are being read are queued.
             ForwardedRequest::WorkerHeartbeat(_) => self.shards.contains_key(&shard),
-            // The job's tasks may be stopped even without a valid leader lease.
+            // Stopping the tasks of a cancelled job is safe even without a valid leader lease.
             ForwardedRequest::Cancel(_) => is_active,
             _ => is_active && self.may_decide(shard),
         }
     }
 
-    /// Refuses the calls to the state service that should have been admitted before they were sent.
+    /// Completes the state service calls that were not sent for lack of an admission, as if the service had refused them
+    /// because a rate limit was exceeded.
     fn refuse_calls_not_admitted(&mut self) {
         for PendingStateCall { sent, operation, .. } in self.calls.take_not_admitted() {
             self.complete_state_call(sent, operation, Err(CallError::Refused { over_limit: true }));
         }
     }
 
-    /// Does what is due in each component: this node's leadership is kept up first, and decisions by it come after.
+    /// Runs the periodic work of each component. Leases and leadership are maintained first, because the decisions that
+    /// follow depend on them.
     fn tick(&mut self) {
         self.share_limits();
         self.refuse_calls_not_admitted();
--- a/src/coordination/events.rs
+++ b/src/coordination/events.rs
@@ -1,4 +1,5 @@
-//! The events that the coordination layer handles and the actions that it returns.
+//! Inputs and outputs of the coordination layer: the events that [`Controller::handle`](super::Controller::handle)
+//! takes and the actions that it returns for the caller to carry out.
 
 use crate::model::NodeLabel;
 use crate::protocol::cloud::{CloudAnswer, CloudCall};
@@ -11,121 +12,125 @@
 use crate::time::Time;
 use std::net::SocketAddrV4;
 
-/// Identifies a request of a user or a worker that waits for its reply.
+/// Identifier of a request of a user, a worker or an operator that waits for its reply. Assigned by the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ClientRequestId(pub u64);
 
-/// Identifies a call to an outside service.
+/// Identifier of an outbound call: to the state service, the cloud, a worker, or another controller's probe address.
+/// Assigned by the controller and unique within the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct OutboundCallId(pub u64);
 
-/// A reading of both clocks of the process.
+/// Reading of both clocks of the process at one moment.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
-    /// The steady clock, which never goes back.
+    /// Time of the monotonic clock. All timeouts and leases are measured by it.
     pub steady: Time,
-    /// The time of day in milliseconds.
+    /// Milliseconds since the Unix epoch. May jump; used for times that are stored in records or shown to
+    /// users.
     pub wall_clock_ms: u64,
 }
 
-/// Something that has happened and that the controller handles.
+/// Input of the controller.
 #[derive(Debug)]
 pub enum Event {
-    /// A user, a worker or an operator has sent a request.
+    /// Request of a user, a worker or an operator.
     ClientRequest {
-        /// The number to answer with in [`Action::Reply`].
+        /// Identifier to repeat in [`Action::Reply`].
         id: ClientRequestId,
-        /// The request.
+        /// Parsed request.
         client_request: ClientRequest,
     },
-    /// A call to the state service was answered or has failed.
+    /// Outcome of an [`Action::State`].
     State {
-        /// The number of the call.
+        /// Identifier of the call.
         call: OutboundCallId,
-        /// The answer, or why there is none.
+        /// Answer, or the reason why the call failed.
         answer: StateResult,
     },
-    /// A call to the cloud was answered or has failed.
+    /// Outcome of an [`Action::Cloud`].
     Cloud {
-        /// The number of the call.
+        /// Identifier of the call.
         call: OutboundCallId,
-        /// The answer, or why there is none.
+        /// Answer, or the reason why the call failed.
         answer: Result<CloudAnswer, CallError>,
     },
-    /// A call to a worker was answered or has failed.
+    /// Outcome of an [`Action::Worker`].
     Worker {
-        /// The number of the call.
+        /// Identifier of the call.
         call: OutboundCallId,
-        /// The answer, or why there is none.
+        /// Answer, or the reason why the call failed.
         answer: Result<WorkerAnswer, CallError>,
     },
-    /// A probe of another controller was answered (`alive`) or has failed.
+    /// Outcome of an [`Action::Probe`].
     Probe {
-        /// The number of the call.
+        /// Identifier of the call.
         call: OutboundCallId,
-        /// Whether the controller answered.
+        /// `true` if the probed controller answered, `false` if the probe failed or timed out.
         alive: bool,
     },
-    /// Another controller has sent a message.
+    /// Message of another controller.
     Peer(Envelope),
-    /// Time has passed. Occurs about ten times a second.
+    /// Periodic event, sent about ten times per second. Drives all timeouts and periodic work.
     Tick,
 }
 
-/// Something that the controller wants to have done.
+/// Output of the controller, to be carried out by the caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Replies to a request of a user, a worker or an operator.
+    /// Replies to an [`Event::ClientRequest`].
     Reply {
-        /// The number of the request.
+        /// Identifier of the request.
         id: ClientRequestId,
-        /// The reply.
+        /// Reply to send.
         reply: Reply,
     },
-    /// Calls the state service.
+    /// Calls the state service. Its outcome comes back as [`Event::State`].
     State {
-        /// The number of the call.
+        /// Identifier of the call.
         call: OutboundCallId,
-        /// The request.
+        /// Request to send.
         request: StateCall,
     },
-    /// Calls the cloud.
+    /// Calls the cloud. Its outcome comes back as [`Event::Cloud`].
     Cloud {
-        /// The number of the call.
+        /// Identifier of the call.
         call: OutboundCallId,
-        /// The request.
+        /// Request to send.
         request: CloudCall,
     },
-    /// Calls a worker directly.
+    /// Calls a worker directly, instead of waiting for its next heartbeat. Its outcome comes back as
+    /// [`Event::Worker`].
     Worker {
-        /// The number of the call.
+        /// Identifier of the call.
         call: OutboundCallId,
-        /// The address of the worker.
+        /// Address at which the worker receives direct calls.
         addr: SocketAddrV4,
-        /// The commands.
+        /// Commands, with the fencing token that the worker checks.
         request: WorkerCall,
     },
-    /// Probes another controller: asks whether it answers at the address for users and workers.
+    /// Probes another controller: checks that it answers at its address for users and workers. The outcome comes back
+    /// as [`Event::Probe`].
     Probe {
-        /// The number of the call.
+        /// Identifier of the call.
         call: OutboundCallId,
-        /// The address to probe.
+        /// Address for users and workers of the probed controller.
         addr: SocketAddrV4,
     },
-    /// Sends a message to another controller.
+    /// Sends a message to another controller. The message may be lost.
     Send {
-        /// The controller to send to.
+        /// Label of the receiving controller.
         to: NodeLabel,
-        /// The message.
+        /// Message to send.
         message: PeerMessage,
     },
 }
 
-/// Who waits for a reply.
+/// Origin of a request, to which the reply is sent.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum Requester {
-    /// A client of this node.
+    /// Client that is connected to this node.
     Local(ClientRequestId),
-    /// Another controller that has forwarded a request under the given number.
+    /// Controller that forwarded the request of one of its clients under the given number.
     Peer { node: NodeLabel, number: u64 },
 }
--- a/src/coordination/worker_heartbeats/direct_calls.rs
+++ b/src/coordination/worker_heartbeats/direct_calls.rs
@@ -1,5 +1,5 @@
-//! Direct calls to workers: probing silent machines, and stopping tasks of cancelled jobs and preempted tasks without
-//! waiting for the next heartbeat.
+//! Direct calls to workers, which do not wait for the next heartbeat: probes of silent machines, and commands that stop
+//! preempted tasks and tasks of cancelled jobs.
 
 use super::super::controller::Controller;
 use super::super::pending_calls::PendingWorkerCall;
@@ -11,24 +11,26 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 
-/// How many machines are called directly at a time to stop the tasks of a cancelled job; each call takes a socket.
+/// Maximum number of machines that are called directly to stop the tasks of one cancelled job. Each call takes a socket;
+/// the other machines get the commands in answers to their heartbeats.
 const MAX_DIRECT_STOPS: usize = 64;
 
-/// After how many heartbeat intervals without a heartbeat a machine is probed.
+/// Number of heartbeat intervals without a heartbeat after which a machine is probed.
 const SILENT_INTERVALS: f64 = 2.0;
 
-/// A direct call that is ready to be sent.
+/// Direct call that is ready to be sent.
 struct DirectCall {
-    /// The machine that is called.
+    /// Machine to call.
     machine: MachineId,
-    /// Where its worker listens.
+    /// Address at which the machine's worker receives direct calls.
     addr: SocketAddrV4,
-    /// The commands, with the token that the worker checks.
+    /// Commands, with the fencing token and the agent epoch that the worker checks.
     request: WorkerCall,
 }
 
 impl DirectCall {
-    /// A call with the given commands under the machine's present token; with none it is a probe.
+    /// Creates a call with the given commands under the machine's present token and epoch. Without commands the call is a
+    /// probe.
     fn new(id: &MachineId, machine: &Machine, commands: Vec<Command>) -> DirectCall {
         let request = WorkerCall { token: machine.token, epoch: machine.last_heartbeat.epoch, commands };
         DirectCall { machine: id.clone(), addr: machine.addr, request }
@@ -36,14 +38,15 @@
 }
 
 impl Controller {
-    /// Sends calls on behalf of a shard.
+    /// Sends direct calls to machines of a shard.
     fn send_direct_calls(&mut self, shard_id: ShardId, calls: Vec<DirectCall>) {
         for DirectCall { machine, addr, request } in calls {
             self.call_worker(shard_id, &machine, addr, request);
         }
     }
 
-    /// Asks machines with tasks that have been silent for a while whether they are still up.
+    /// Probes reconciled machines with unfinished attempts that have been silent for [`SILENT_INTERVALS`], to find
+    /// out whether they are up.
     pub(super) fn probe_silent_machines(&mut self, shard_id: ShardId) {
         let (now, patience) = (self.now, self.settings.heartbeat_interval.times(SILENT_INTERVALS));
         let Some(shard) = self.shards.get_mut(&shard_id) else { return };
@@ -58,7 +61,7 @@
         self.send_direct_calls(shard_id, calls);
     }
 
-    /// Handles the answer of a worker to a direct call.
+    /// Handles the outcome of a direct call to a worker.
     pub(in crate::coordination) fn worker_answered(
         &mut self,
         call: PendingWorkerCall,
@@ -72,21 +75,21 @@
         machine.probing = false;
         match answer {
             answer if !machine.reconciled => self.reconciliation_answered(shard_id, &id, answer),
-            // The machine is up. Its task list is not read: a command in the answer to one of its heartbeats may
-            // still be on its way, and the task would seem to be missing.
+            // The machine is up. Its task list is not applied: a start command in the answer to one of its heartbeats
+            // may still be on its way, and the attempt would seem to be lost.
             Ok(WorkerAnswer::Executed(heartbeat) | WorkerAnswer::Rejected(heartbeat)) if heartbeat.machine == id => {
                 machine.seen = now;
                 machine.unanswered = 0;
             }
-            // Another machine has the address by now.
+            // Another machine answers at this address now.
             Ok(_) => {}
             Err(_) => machine.unanswered += 1,
         }
     }
 
-    /// Stops at once the tasks of a cancelled job that were ordered to run and have not been seen running: they could
-    /// begin before the next heartbeat of their machine, after the user was told that the job is cancelled. Running
-    /// tasks are stopped in answers to heartbeats.
+    /// Stops the attempts of a cancelled job that were sent to a machine and have not been reported running. Without the
+    /// direct call they could begin to run before the next heartbeat of their machine, after the user was told that the
+    /// job is cancelled. Running attempts are stopped in answers to heartbeats.
     pub(in crate::coordination) fn stop_unstarted(&mut self, shard_id: ShardId, job_id: &JobId) {
         let Some(shard) = self.shards.get(&shard_id) else { return };
         let Some(job) = shard.jobs.get(job_id) else { return };
@@ -99,7 +102,7 @@
         self.send_direct_calls(shard_id, calls);
     }
 
-    /// Stops preempted tasks at once rather than in answers to the next heartbeats.
+    /// Chooses tasks to preempt and stops them with direct calls, without waiting for the next heartbeats.
     pub(super) fn preempt_tasks(&mut self, shard_id: ShardId) {
         if !self.may_decide(shard_id) {
             return;
@@ -118,7 +121,7 @@
 }
 
 impl Shard {
-    /// The commands, by machine, that stop the attempts of a job that have not been seen running.
+    /// Returns the commands, by machine, that stop the attempts of a job that have not been reported running.
     fn unstarted_stops<'a>(&self, job: &'a Job) -> BTreeMap<&'a MachineId, Vec<Command>> {
         let mut attempts: Vec<_> = job.progress.running.values().collect();
         attempts.sort();
@@ -134,13 +137,13 @@
         stops
     }
 
-    /// The call that stops the tasks that were chosen on one machine.
+    /// Returns the call that stops the attempts that were chosen for preemption on one machine.
     fn preemption_call(&self, preemption: &Preemption) -> Option<DirectCall> {
         let Preemption { machine: id, victims } = preemption;
         let machine = self.machines.get(id)?;
         let stops = victims.iter().filter_map(|no| {
             let attempt = machine.attempts.get(no)?;
-            log::debug!("task {} on {id} is preempted", attempt.task);
+            log::debug!("task {} on machine {id}: preempted; sending a stop command to the worker", attempt.task);
             Some(Command::Stop { task: attempt.task.clone(), attempt: *no, grace_s: attempt.stop? })
         });
         Some(DirectCall::new(id, machine, stops.collect()))
--- a/src/coordination/worker_heartbeats/graceful_eviction.rs
+++ b/src/coordination/worker_heartbeats/graceful_eviction.rs
@@ -1,18 +1,20 @@
-//! Graceful eviction: stopping tasks in time when the cloud has announced that it takes their machine back.
+//! Graceful eviction: stops tasks early enough to save their checkpoints when the cloud has announced that it will
+//! take their spot machine away.
 
 use super::super::placement::PlacementContext;
 use super::super::shard::{Attempt, Job, Shard};
 use crate::model::{JobKind, MachineId};
 
-/// After how many heartbeat intervals a command has certainly reached a worker: one until the next heartbeat, one in
-/// case that heartbeat is lost.
+/// Number of heartbeat intervals after which a command is assumed to have reached a worker: one until the next
+/// heartbeat, and one more in case that heartbeat is lost.
 const COMMAND_DELAY_INTERVALS: f64 = 2.0;
 
-/// How much time is allowed for stopping a task besides what its checkpoint takes, in seconds.
+/// Time allowed for stopping a task in addition to the time for saving its checkpoint, in seconds.
 const STOP_MARGIN_S: f64 = 1.0;
 
 impl Shard {
-    /// Decides which tasks on a machine that is about to be taken are stopped now.
+    /// Marks the attempts that must be stopped now on a machine that the cloud is about to take away. Does nothing if the
+    /// cloud has announced nothing for the machine.
     pub(super) fn plan_graceful_eviction(&mut self, id: &MachineId, context: &PlacementContext) {
         let Some(machine) = self.machines.get_mut(id) else { return };
         let Some(taken_at) = machine.notice else { return };
@@ -26,17 +28,17 @@
     }
 }
 
-/// How many seconds a task on a machine that is taken in `remaining_s` may use for its checkpoint if it is stopped
-/// now; `None` if it goes on.
+/// Returns the seconds that an attempt gets for saving its checkpoint if it must be stopped now, or `None` if it goes
+/// on. The machine is taken away in `remaining_s` seconds.
 fn eviction_grace_s(job: &Job, attempt: &Attempt, remaining_s: f64, context: &PlacementContext) -> Option<f64> {
     let has_checkpoints = job.spec.checkpoint_s > 0.0;
     if job.spec.kind == JobKind::Service {
-        // Its replacement is needed at once, and what the task does until the machine is taken can't be kept.
+        // The replacement is needed at once, and work done until the machine is taken away would be lost.
         return Some(if has_checkpoints { job.spec.save_s } else { 0.0 });
     }
     let ran_s = attempt.running_since.map_or(0.0, |since| context.now.since(since).as_secs());
     if !has_checkpoints || job.run_time() - ran_s < remaining_s - job.spec.save_s {
-        // The task may complete in time, and stopping it would save nothing.
+        // Either there is no checkpoint to save, or the task may complete before the machine is taken away.
         return None;
     }
     let margin_s = COMMAND_DELAY_INTERVALS * context.settings.heartbeat_interval.as_secs() + STOP_MARGIN_S;
--- a/src/coordination/worker_heartbeats/mod.rs
+++ b/src/coordination/worker_heartbeats/mod.rs
@@ -1,5 +1,5 @@
-//! Worker heartbeats and everything that leads to commands for workers: registration of machines, answers to
-//! heartbeats, direct calls to workers, and graceful eviction.
+//! Worker heartbeats, and all that sends commands to workers: registration of machines, answers to heartbeats, direct
+//! calls to workers, and graceful eviction.
 
 mod direct_calls;
 mod graceful_eviction;
@@ -19,25 +19,27 @@
 use crate::protocol::{BusyReason, Reply};
 use crate::time::Span;
 
-/// How long heartbeats are kept for a shard whose records are being read. Workers wait 4 s for an answer.
+/// Longest time after the acquisition of a shard for which heartbeats are queued while its records are being read.
+/// Workers wait 4 s for an answer.
 const EARLY_HEARTBEAT_TIMEOUT: Span = Span::millis(2000);
 
-/// A call to the state service that concerns the record of a machine.
+/// Purpose of a call to the state service that concerns the record of a machine.
 pub(super) enum MachineOperation {
-    /// Reads the record of a machine to find out which shard it belongs to.
+    /// Reads the record of a machine to find its shard.
     Find { requester: Requester, heartbeat: Box<WorkerHeartbeat> },
-    /// Records a machine, so that its heartbeats may be answered.
+    /// Writes the record of a new machine. Its heartbeats are answered with 200 only once the record is durable.
     Register { leadership: LeadershipTerm, requester: Requester, heartbeat: Box<WorkerHeartbeat> },
-    /// Removes the record of a machine that is gone.
+    /// Removes the record of a machine that no longer exists.
     RemoveRecord { leadership: LeadershipTerm, machine: MachineId, version: Revision },
-    /// Transfers a machine to another shard.
+    /// Changes the shard in the record of a machine.
     Transfer { leadership: LeadershipTerm, machine: MachineId, to: ShardId },
-    /// Reads the record of a machine that was transferred to this shard.
+    /// Reads the record of a machine that may belong to this shard: it was transferred here, or its registration found a
+    /// record of which this node did not know.
     Fetch { leadership: LeadershipTerm },
 }
 
 impl MachineOperation {
-    /// The class of traffic by which the call is admitted.
+    /// Returns the traffic class under which the call is admitted.
     pub fn traffic_class(&self) -> TrafficClass {
         match self {
             MachineOperation::Find { .. } => TrafficClass::RecordRead,
@@ -47,7 +49,7 @@
         }
     }
 
-    /// The term that was a condition of the transaction, if there was one.
+    /// Returns the leadership term that was a condition of the transaction, or `None` if the call is a read.
     pub fn leadership_condition(&self) -> Option<LeadershipTerm> {
         match self {
             MachineOperation::Register { leadership, .. }
@@ -57,17 +59,19 @@
         }
     }
 
-    /// Whether this records the given machine.
+    /// Returns `true` if the call writes the record of the given machine.
     pub(super) fn registers(&self, machine: &MachineId) -> bool {
         matches!(self, MachineOperation::Register { heartbeat, .. } if heartbeat.machine == *machine)
     }
 }
 
 impl Controller {
-    /// Passes an answer of the state service to the step that waits for it.
+    /// Continues a machine operation with the answer of the state service.
     pub(super) fn machine_operation_answered(&mut self, operation: MachineOperation, answer: StateResult) {
         match operation {
-            MachineOperation::Find { requester, heartbeat } => self.machine_found(requester, heartbeat, answer),
+            MachineOperation::Find { requester, heartbeat } => {
+                self.machine_found(requester, heartbeat, answer);
+            }
             MachineOperation::Register { leadership, requester, heartbeat } => {
                 self.machine_registered(leadership, requester, heartbeat, answer);
             }
@@ -81,7 +85,7 @@
         }
     }
 
-    /// Periodic work: registers machines that wait for it, gives up tasks of dead machines, preempts tasks and probes
+    /// Runs the periodic work: registers waiting machines, gives up attempts on dead machines, preempts tasks and probes
     /// silent machines.
     pub(super) fn workers_tick(&mut self) {
         self.register_waiting_machines();
@@ -94,8 +98,8 @@
                 continue;
             }
             if !self.may_decide(id) {
-                // Another controller may have acquired the shard and renewed a machine's lease meanwhile: its tasks
-                // may still run there, and must not be started elsewhere by this one.
+                // Another controller may have acquired the shard and renewed worker leases since: tasks may still run
+                // on machines that are silent here, so this node must not give them up and start them elsewhere.
                 continue;
             }
             self.give_up_dead_machines(id);
@@ -106,7 +110,8 @@
         }
     }
 
-    /// Refuses the heartbeats that a shard has kept, once reading its records takes too long.
+    /// Refuses the heartbeats that are queued for a shard if reading its records takes longer than
+    /// [`EARLY_HEARTBEAT_TIMEOUT`].
     fn expire_early_heartbeats(&mut self, id: ShardId) {
         let now = self.now;
         let Some(shard) = self.shards.get_mut(&id) else { return };
@@ -118,7 +123,8 @@
         }
     }
 
-    /// Gives up the attempts on machines whose worker lease has certainly expired.
+    /// Gives up the attempts on machines whose worker lease has certainly expired, so that their tasks can be started
+    /// elsewhere.
     fn give_up_dead_machines(&mut self, id: ShardId) {
         let (now, worker_lease) = (self.now, self.settings.worker_lease);
         let Some(shard) = self.shards.get_mut(&id) else { return };
@@ -131,7 +137,7 @@
             .map(|(id, _)| id.clone())
             .collect();
         for machine_id in &dead {
-            log::warn!("machine {machine_id}: its worker lease has expired");
+            log::warn!("machine {machine_id}: worker lease expired; giving up all attempts on it");
             shard.remove_all_attempts(machine_id, now);
         }
     }
--- a/src/coordination/worker_heartbeats/registration.rs
+++ b/src/coordination/worker_heartbeats/registration.rs
@@ -1,5 +1,5 @@
-//! Registration of machines: finding the shard that a machine belongs to, and recording the machine before its first
-//! heartbeat is answered with 200.
+//! Registration of machines: finds the shard of a machine, and writes the machine's record before its first heartbeat
+//! is answered with 200.
 
 use super::super::controller::Controller;
 use super::super::events::Requester;
@@ -17,49 +17,50 @@
 use crate::time::{Span, Time};
 use std::collections::VecDeque;
 
-/// How long a heartbeat waits for its machine to be recorded.
+/// Longest time that a heartbeat waits until the record of its machine may be written. Workers wait 4 s for an
+/// answer.
 const REGISTRATION_TIMEOUT: Span = Span::millis(3000);
 
-/// How often silent machines are probed.
+/// Interval at which silent machines are probed.
 const PROBE_INTERVAL: Span = Span::millis(1000);
 
-/// Machines whose records wait to be written, and when the state of workers was last checked.
+/// Machines that wait until their records may be written, and the time of the last tick.
 #[derive(Default)]
 pub(in crate::coordination) struct Registrations {
-    /// Heartbeats of the machines that wait, the oldest first.
+    /// One heartbeat of each waiting machine, the oldest first.
     pending: VecDeque<PendingRegistration>,
-    /// When the state of workers was last checked.
+    /// Time of the last tick, by which the probe interval is kept.
     last_tick: Time,
 }
 
 impl Registrations {
-    /// Notes that a tick begins; returns whether a new probe interval has begun since the last tick.
+    /// Records the time of a tick. Returns `true` if a new probe interval has begun since the last tick.
     pub(super) fn begin_tick(&mut self, now: Time) -> bool {
         let previous = std::mem::replace(&mut self.last_tick, now);
         now.0 / PROBE_INTERVAL.0 != previous.0 / PROBE_INTERVAL.0
     }
 
-    /// Queues a machine to be registered. Only its newest heartbeat is kept.
+    /// Queues a machine for registration. Replaces an earlier heartbeat of the machine, which then gets no reply.
     fn enqueue(&mut self, registration: PendingRegistration) {
         self.pending.retain(|other| other.heartbeat.machine != registration.heartbeat.machine);
         self.pending.push_back(registration);
     }
 }
 
-/// A heartbeat of a machine whose record waits to be written.
+/// Heartbeat that waits until the record of its machine may be written.
 struct PendingRegistration {
-    /// Who waits for the reply.
+    /// Origin of the heartbeat.
     requester: Requester,
-    /// The shard that the machine is to be recorded for.
+    /// Shard for which the machine will be recorded.
     shard: ShardId,
-    /// The newest heartbeat of the machine.
+    /// Newest heartbeat of the machine.
     heartbeat: Box<WorkerHeartbeat>,
-    /// When the heartbeat began to wait.
+    /// Time at which the heartbeat was queued.
     since: Time,
 }
 
 impl Controller {
-    /// Registers machines that wait for it, as far as the rate limit on changes allows.
+    /// Registers waiting machines as far as the rate limit on writes allows, and refuses heartbeats that have timed out.
     pub(super) fn register_waiting_machines(&mut self) {
         let now = self.now;
         while let Some(first) = self.registrations.pending.front() {
@@ -76,7 +77,8 @@
         }
     }
 
-    /// Continues with a heartbeat that waited. Another controller may lead its shard by now.
+    /// Continues with a heartbeat that was queued. Another controller may lead its shard by now, or the machine may have
+    /// been registered.
     fn resume_registration(&mut self, registration: PendingRegistration) {
         let PendingRegistration { requester, shard: shard_id, heartbeat, .. } = registration;
         let is_unregistered = self
@@ -90,7 +92,7 @@
         }
     }
 
-    /// Handles a heartbeat of a machine that no shard of this node has registered.
+    /// Handles a heartbeat of a machine that is not among the loaded machines of any shard of this node.
     pub(super) fn handle_unregistered_heartbeat(&mut self, requester: Requester, heartbeat: Box<WorkerHeartbeat>) {
         let Some(shard_id) = self.presumed_shard(&heartbeat.machine) else {
             return self.find_machine(requester, heartbeat);
@@ -104,13 +106,13 @@
         }
     }
 
-    /// The shard that an unregistered machine belongs to, as far as it is known without reading the record.
+    /// Returns the shard of an unregistered machine if it is known without reading the machine's record.
     fn presumed_shard(&self, machine: &MachineId) -> Option<ShardId> {
         let rented_for = self.shards.values().find(|shard| shard.fleet.booting.contains_key(machine));
         rented_for.map(|shard| shard.id).or_else(|| self.directory.machine_shard(machine)).or_else(|| self.only_shard())
     }
 
-    /// Reads the record of a machine: another controller may have registered it.
+    /// Reads the record of a machine to find its shard: another controller may have registered it.
     fn find_machine(&mut self, requester: Requester, heartbeat: Box<WorkerHeartbeat>) {
         if !self.admits(TrafficClass::RecordRead) {
             return self.reply(requester, Reply::busy(BusyReason::TooManyMachineReads));
@@ -126,14 +128,14 @@
                 Ok(record) => record.shard,
                 Err(_) => return self.reply(requester, Reply::busy(BusyReason::RecordUnreadable)),
             },
-            // Rented by a controller that no longer runs, or one of the operators' own machines: its number tells
-            // every controller alike where it belongs.
+            // Rented by a controller that no longer runs, or one of the operators' own machines. All controllers
+            // derive the same shard from the number in its id.
             Ok(StateAnswer::Missing) => self.default_shard(&heartbeat.machine),
             _ => return self.reply(requester, Reply::busy(BusyReason::StateUnreachable)),
         };
         self.directory.set_machine_shard_if_unknown(heartbeat.machine.clone(), shard_id);
         match self.shards.get(&shard_id) {
-            // Recorded as this shard's, but not among the machines that its leader has loaded: it was transferred.
+            // The record names this shard, but the machine is not among those that were loaded: it was transferred.
             Some(shard) if shard.is_active() && !shard.machines.contains_key(&heartbeat.machine) => {
                 self.register_machine(requester, shard_id, heartbeat);
             }
@@ -142,17 +144,17 @@
         }
     }
 
-    /// The shard of a machine without a record. The operators' own machines are distributed evenly by their numbers,
-    /// as the design asks, but only among the shards that take jobs: in the others they would be idle.
+    /// Returns the shard of a machine without a record, derived from the number in its id. The operators' own machines
+    /// are thereby distributed evenly, but only among the shards that take jobs: in other shards they would be idle.
     pub(in crate::coordination) fn default_shard(&self, machine: &MachineId) -> ShardId {
         let digits = machine.as_str().bytes().filter(u8::is_ascii_digit);
         let number = digits.fold(0u64, |number, digit| number.wrapping_mul(10).wrapping_add(u64::from(digit - b'0')));
         ShardId((number % u64::from(self.settings.team_shards())) as u32)
     }
 
-    /// Whether a machine without a record was returned. Its last heartbeats may arrive late and must not register it
-    /// again. A machine that was answered before, as its token shows, had a record; if that is gone, the cloud does
-    /// not list the machine any more, or soon will not.
+    /// Returns `true` if a machine without a record was returned to the cloud. Its last heartbeats may arrive late and
+    /// must not register it again. A machine whose fencing token shows that it was answered before had a record. If that
+    /// record is gone, the machine was returned: it counts as removed once the cloud's list no longer contains it.
     fn is_removed(&self, heartbeat: &WorkerHeartbeat) -> bool {
         let machine = &heartbeat.machine;
         let record_is_being_removed =
@@ -163,11 +165,12 @@
             || was_answered && !self.cloud.machine_list().contains(machine)
     }
 
-    /// Records a machine as the given shard's. Only then may its heartbeats be answered with 200.
+    /// Writes the record of a machine for the given shard, or queues the heartbeat if no write is admitted now. Heartbeats
+    /// of the machine are answered with 200 only once the record is durable.
     fn register_machine(&mut self, requester: Requester, shard_id: ShardId, heartbeat: Box<WorkerHeartbeat>) {
         let is_being_registered = self.is_being_registered(&heartbeat.machine);
         let leadership = match self.shards.get(&shard_id) {
-            // A heartbeat that was delayed or delivered twice: the machine is gone.
+            // A heartbeat that was delayed or delivered twice, of a machine that was returned.
             Some(_) if self.is_removed(&heartbeat) => {
                 return self.reply(requester, Reply::busy(BusyReason::MachineGone));
             }
@@ -177,8 +180,8 @@
         if !self.may_decide(shard_id) {
             return self.reply(requester, Reply::busy(BusyReason::LeaseInvalid));
         }
-        // If a whole fleet boots at once, the state service would refuse most of the records, and each of these
-        // machines would have to ask again.
+        // When a whole fleet boots at once, the state service would refuse most of the writes, and each of these
+        // machines would have to retry.
         if !self.admits(TrafficClass::MachineRecord) {
             let since = self.now;
             let registration = PendingRegistration { requester, shard: shard_id, heartbeat, since };
@@ -193,12 +196,12 @@
         self.call_state(request, MachineOperation::Register { leadership, requester, heartbeat });
     }
 
-    /// Whether the record of the machine is being written.
+    /// Returns `true` if a write of the machine's record is in flight.
     fn is_being_registered(&self, machine: &MachineId) -> bool {
         self.calls.state_operations().any(|operation| operation.registers(machine))
     }
 
-    /// Continues with a heartbeat after the attempt to record its machine.
+    /// Continues with a heartbeat after the write of its machine's record was answered.
     pub(super) fn machine_registered(
         &mut self,
         leadership: LeadershipTerm,
@@ -216,8 +219,8 @@
                 self.handle_heartbeat(requester, heartbeat);
             }
             Ok(StateAnswer::Conflict(_)) => {
-                // Recorded before: by another shard, by a write of this node whose answer was lost, or by a
-                // transfer. The record has to be read to find its leader.
+                // The record exists: another shard has written it, the answer to an earlier write of this node was
+                // lost, or the machine was transferred. The record is read to find its shard.
                 self.directory.forget_machine_shard(&heartbeat.machine);
                 let request = StateCall::Get(keys::machine_key(&heartbeat.machine));
                 self.call_state(request, MachineOperation::Fetch { leadership });
@@ -227,12 +230,17 @@
         }
     }
 
-    /// Adds a machine whose record of the given version has just been written.
+    /// Adds a machine to its shard. `version` is the version of the record that was just written.
     fn add_registered_machine(&mut self, shard_id: ShardId, heartbeat: &WorkerHeartbeat, version: Revision) {
         let now = self.now;
         let Some(shard) = self.shards.get_mut(&shard_id) else { return };
         let record = machine_record(heartbeat, shard_id);
-        log::info!("machine {} ({}, {}) joins shard {shard_id}", heartbeat.machine, record.kind, record.zone);
+        log::info!(
+            "machine {} (type {}, zone {}): registered in shard {shard_id}",
+            heartbeat.machine,
+            record.kind,
+            record.zone
+        );
         let booted_in_time = shard.fleet.booting.get(&heartbeat.machine).is_some_and(|booting| !booting.overdue);
         shard.add_machine(heartbeat.machine.clone(), &record, heartbeat.addr, version, now);
         if booted_in_time {
@@ -241,7 +249,7 @@
         self.directory.set_machine_shard(heartbeat.machine.clone(), shard_id);
     }
 
-    /// Adds a machine whose record was read, if that names a shard of this node.
+    /// Adds a machine whose record was read if the record names the shard of the given term, and queries the machine.
     pub(super) fn machine_record_fetched(&mut self, leadership: LeadershipTerm, answer: StateResult) {
         let Ok(StateAnswer::Found(entry)) = answer else { return };
         self.load_machine_entry(leadership, &entry);
@@ -249,7 +257,7 @@
     }
 }
 
-/// The record of a machine of the given shard, as its heartbeat describes it.
+/// Returns the record of a machine of the given shard with the properties that its heartbeat reports.
 fn machine_record(heartbeat: &WorkerHeartbeat, shard: ShardId) -> MachineRecord {
     MachineRecord {
         shard,
--- a/src/coordination/worker_heartbeats/serving.rs
+++ b/src/coordination/worker_heartbeats/serving.rs
@@ -1,5 +1,5 @@
-//! Answering heartbeats of registered machines: which of them renew the worker lease, what is read of their task
-//! lists, and which commands the answer contains.
+//! Answers to heartbeats of registered machines: decides whether a heartbeat renews the worker lease, whether its task
+//! list is applied, and which commands the answer contains.
 
 use super::super::controller::Controller;
 use super::super::events::Requester;
@@ -11,16 +11,17 @@
 use crate::time::{Span, Time};
 use std::collections::HashMap;
 
-/// What the task list of a heartbeat is worth.
+/// Validity of the task list of a heartbeat.
 enum TaskListValidity {
-    /// Older than what is known, or possibly sent before commands of a former leader were executed.
+    /// Older than what is known of the machine, or possibly sent before commands of a former leader were executed. It is
+    /// not applied.
     Outdated,
-    /// Newer than anything known of the machine.
+    /// Newer than all that is known of the machine.
     Current,
 }
 
 impl Controller {
-    /// Handles a heartbeat that arrived from a worker or was relayed by another controller.
+    /// Handles a heartbeat that a worker sent to this node or that another controller relayed.
     pub(in crate::coordination) fn handle_heartbeat(&mut self, requester: Requester, heartbeat: Box<WorkerHeartbeat>) {
         if matches!(requester, Requester::Local(_)) {
             self.leadership.end_backoff();
@@ -32,7 +33,7 @@
         }
     }
 
-    /// Answers a heartbeat of a registered machine.
+    /// Answers a heartbeat of a registered machine, or queues it while the shard's records are being read.
     fn serve_heartbeat(&mut self, requester: Requester, shard_id: ShardId, heartbeat: Box<WorkerHeartbeat>) {
         let (now, worker_lease) = (self.now, self.settings.worker_lease);
         let may_renew_worker_leases = self.may_renew_worker_leases(shard_id);
@@ -61,10 +62,11 @@
         self.finish_jobs(shard_id);
     }
 
-    /// The commands that the answer to a heartbeat of the machine contains.
+    /// Returns the commands for the answer to a heartbeat of the machine.
     fn heartbeat_commands(&mut self, shard_id: ShardId, machine_id: &MachineId) -> Vec<Command> {
-        // Stopping tasks whose job has ended is safe at any time. Without the leader lease, tasks are started for as
-        // long as worker leases are renewed, if the operators want that: see "Starting tasks during an outage" in docs/reconciliation.md.
+        // Stopping tasks whose job has ended is always safe. Without a valid leader lease, tasks are started only if the
+        // property recovery.hold-on is set, and only while worker leases are still renewed: see "Starting tasks during
+        // an outage" in docs/reconciliation.md.
         let may_start_tasks = self.may_decide(shard_id) || self.settings.properties.recovery.hold_on;
         let context = PlacementContext {
             settings: &self.settings,
@@ -86,15 +88,15 @@
     }
 }
 
-/// Whether the worker has executed commands of a newer leader than this node.
+/// Returns `true` if the worker has seen the fencing token of a newer leader than this node.
 fn shows_newer_leader(machine: &Machine, heartbeat: &WorkerHeartbeat) -> bool {
     heartbeat.token > machine.token
 }
 
-/// The reply to a heartbeat that must not be answered with 200, if it is one.
+/// Returns the refusal of a heartbeat that must not be answered with 200, or `None` if it may be.
 ///
-/// If there is a newer leader, or this node may not renew worker leases any more, a 200 would only keep the worker
-/// here while its lease expires.
+/// A worker is redirected if there is a newer leader or this node may not renew worker leases any more. If it were
+/// answered with 200, it would stay with this node while its lease expires.
 fn refusal(machine: &Machine, heartbeat: &WorkerHeartbeat, may_renew_worker_leases: bool) -> Option<Reply> {
     if machine.deleting {
         return Some(Reply::busy(BusyReason::BeingReturned));
@@ -103,8 +105,8 @@
 }
 
 impl Machine {
-    /// Records what a heartbeat that is being answered with 200 shows of the machine itself, and returns what its task
-    /// list is worth.
+    /// Records what a heartbeat that is being answered with 200 shows of the machine itself, and returns the validity of
+    /// its task list.
     fn record_heartbeat(
         &mut self,
         heartbeat: &WorkerHeartbeat,
@@ -114,7 +116,7 @@
     ) -> TaskListValidity {
         let position = HeartbeatNumber::of(heartbeat);
         if position <= self.last_heartbeat {
-            // Delayed, or overtaken by the answer to a direct call: the task list is older than what is known.
+            // The heartbeat was delayed, or overtaken by the answer to a direct call.
             self.answered = Some(now);
             return TaskListValidity::Outdated;
         }
@@ -130,9 +132,9 @@
         self.addr = heartbeat.addr;
         self.answered = Some(now);
         self.notice = heartbeat.notice.map(|remaining| now + remaining);
-        // Only a heartbeat that was sent after the present token had reached the worker shows what became of a former
-        // leader's commands: an older one may have been under way when they were sent. A machine that was never
-        // answered before cannot have received any.
+        // Only a heartbeat that was sent after the present token had reached the worker shows the outcome of a former
+        // leader's commands: an older heartbeat may have been sent before the worker received them. A new machine that
+        // was never answered cannot have received any command.
         if heartbeat.token < self.token && !was_never_used {
             return TaskListValidity::Outdated;
         }
@@ -142,18 +144,19 @@
         TaskListValidity::Current
     }
 
-    /// Commands that stop tasks and that make the worker forget attempts that are over, whatever else is decided.
+    /// Returns the commands that stop attempts, and those that make the worker forget attempts that are over.
     fn cleanup_commands(&self, jobs: &HashMap<JobId, Job>, max_commands: usize) -> Vec<Command> {
         let commands = self.attempts.iter().filter_map(|(no, attempt)| cleanup_command(*no, attempt, jobs));
         commands.take(max_commands).collect()
     }
 }
 
-/// The command that stops an attempt or makes the worker forget it, if either is due.
+/// Returns the command that stops an attempt or makes the worker forget it, or `None` if neither is due. An attempt that
+/// is already saving its progress is stopped only if it gets no time for that.
 fn cleanup_command(no: AttemptNumber, attempt: &Attempt, jobs: &HashMap<JobId, Job>) -> Option<Command> {
     let task = attempt.task.clone();
     if attempt.is_over() {
-        // The worker may only forget a result once the job record contains it.
+        // The worker may forget a result only once the job's record contains it.
         let result_is_unrecorded = jobs
             .get(&task.job)
             .is_some_and(|job| job.progress.done.contains(task.task.0) && !job.record.recorded.contains(task.task.0));
