--- a/crates/reconciliation/src/answer_loss.rs
+++ b/crates/reconciliation/src/answer_loss.rs
@@ -3,18 +3,18 @@
 //! and again, and start none of them.
 //!
 //! Answer loss shows in the heartbeats that arrive, not in silence: commands have no effect, the fencing token is not
-//! adopted, or the agent epoch rises although heartbeats were answered. A single such miss may be a lost packet and does
-//! not count as answer loss.
+//! adopted, or the agent epoch rises although heartbeats were answered. A single such miss may be a lost packet and
+//! does not count as answer loss.
 
 use crowstall_model::model::AgentEpoch;
 use crowstall_model::time::{Span, Time};
 
 /// Number of consecutive misses after which a machine counts as losing its answers.
-const MISSES_FOR_LOSS: u32 = 2;
+const MIN_MISSES_FOR_LOSS: u32 = 2;
 /// Fraction of the worker lease after an answer within which a rise of the epoch shows that the answer was lost.
 const RECENT_ANSWER_FRACTION: f64 = 0.5;
 /// Time beyond the worker lease that an epoch must last to show that answers arrive.
-const EPOCH_ALLOWANCE: Span = Span::millis(1000);
+const EPOCH_MARGIN: Span = Span::millis(1000);
 
 /// Evidence in a heartbeat that the machine received the answer to its previous heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -47,8 +47,8 @@
 }
 
 impl AnswerLossDetector {
-    /// Records a heartbeat that is newer than all before. `last_answered` is the time at which a heartbeat of the machine
-    /// was last answered. A worker that receives no answer for `worker_lease` ends its epoch.
+    /// Records a heartbeat that is newer than all before. `last_answered` is the time at which a heartbeat of the
+    /// machine was last answered. A worker that receives no answer for `worker_lease` ends its epoch.
     pub fn record_heartbeat(
         &mut self,
         now: Time,
@@ -62,7 +62,7 @@
             AnswerEvidence::Received => self.reset(),
             AnswerEvidence::Missing => self.record_miss(now),
             // If no answer had been received, the epoch would have ended by now.
-            AnswerEvidence::NotExpected if now.since(epoch_since) > worker_lease.stretched() + EPOCH_ALLOWANCE => {
+            AnswerEvidence::NotExpected if now.since(epoch_since) > worker_lease.stretched() + EPOCH_MARGIN => {
                 self.reset();
             }
             AnswerEvidence::NotExpected => {}
@@ -96,7 +96,7 @@
 
     fn record_miss(&mut self, now: Time) {
         self.misses += 1;
-        if self.misses >= MISSES_FOR_LOSS {
+        if self.misses >= MIN_MISSES_FOR_LOSS {
             self.loss_since.get_or_insert(now);
         }
     }
--- a/crates/reconciliation/src/lib.rs
+++ b/crates/reconciliation/src/lib.rs
@@ -36,8 +36,8 @@
     timeline: Timeline,
     sweep: Sweep,
     unreconciled_machines: UnreconciledMachines,
-    /// `true` if it is decided for each job and team separately which tasks may be started. Otherwise no task in doubt is
-    /// started before all machines are reconciled.
+    /// `true` if it is decided for each job and team separately which tasks may be started. Otherwise no task in doubt
+    /// is started before all machines are reconciled.
     piecewise: bool,
 }
 
@@ -82,8 +82,8 @@
         self.unreconciled_machines = UnreconciledMachines::default();
     }
 
-    /// Adds an unreconciled machine: a former leader may have started tasks on it. `size` is its capacity, zero if that is
-    /// unknown; larger machines are queried first.
+    /// Adds an unreconciled machine: a former leader may have started tasks on it. `size` is its capacity, zero if that
+    /// is unknown; larger machines are queried first.
     pub fn inherit(&mut self, id: &MachineId, class: MachineClass, size: Resources) {
         self.unreconciled_machines.add(id.clone(), class);
         self.sweep.add(id.clone(), size);
@@ -110,13 +110,14 @@
         self.sweep.unanswered(id, now);
     }
 
-    /// Records that the caller cannot keep up with the answers. Halves the number of machines that are queried at a time.
+    /// Records that the caller cannot keep up with the answers. Halves the number of machines that are queried at a
+    /// time.
     pub fn overloaded(&mut self) {
         self.sweep.shrink_window();
     }
 
-    /// Removes a machine from the unreconciled ones, since it is now known what runs on it. Returns `true` if it was the
-    /// last unreconciled machine of its class, so that more tasks may be started than before.
+    /// Removes a machine from the unreconciled ones, since it is now known what runs on it. Returns `true` if it was
+    /// the last unreconciled machine of its class, so that more tasks may be started than before.
     pub fn reconciled(&mut self, id: &MachineId, now: Time) -> bool {
         self.sweep.reconciled(id, now);
         let was_last_of_class = self.unreconciled_machines.remove(id);
@@ -139,13 +140,14 @@
         self.may_be_running_on(job, |_| true)
     }
 
-    /// Returns `true` if a task of the job that was not found yet may be running on an unreconciled machine of the zone.
+    /// Returns `true` if a task of the job that was not found yet may be running on an unreconciled machine of the
+    /// zone.
     pub fn may_be_running_in(&self, job: &JobSpec, zone: &Name) -> bool {
         self.may_be_running_on(job, |class| class.zone == *zone)
     }
 
-    /// Returns `true` if a task of the job that was not found yet may be running on an unreconciled machine of any other
-    /// zone.
+    /// Returns `true` if a task of the job that was not found yet may be running on an unreconciled machine of any
+    /// other zone.
     pub fn may_be_running_outside(&self, job: &JobSpec, zone: &Name) -> bool {
         self.may_be_running_on(job, |class| class.zone != *zone)
     }
--- a/crates/reconciliation/src/sweep.rs
+++ b/crates/reconciliation/src/sweep.rs
@@ -18,7 +18,7 @@
 const PROMPT_ANSWER: Span = Span::millis(250);
 /// Maximum number of queries in flight, overdue ones included, as a multiple of the maximum window. Each query needs a
 /// socket, even if it is never answered.
-const MAX_SOCKETS_PER_WINDOW: f64 = 4.0;
+const MAX_IN_FLIGHT_WINDOWS: f64 = 4.0;
 /// Delay before the second query to a machine that did not answer. The delay is doubled with every further query.
 const MIN_RETRY_DELAY: Span = Span::millis(500);
 /// Upper bound of the delay between two queries to a machine that does not answer.
@@ -36,7 +36,7 @@
 type QueryOrder = (Reverse<Quantity>, MachineId);
 
 /// Unreconciled machine in the sweep.
-struct Candidate {
+struct QueryTarget {
     /// CPUs of the machine.
     size: Quantity,
     /// Number of queries without a usable answer.
@@ -44,7 +44,7 @@
     state: QueryState,
 }
 
-impl Candidate {
+impl QueryTarget {
     fn order(&self, id: &MachineId) -> QueryOrder {
         (Reverse(self.size), id.clone())
     }
@@ -69,8 +69,8 @@
 }
 
 pub(crate) struct Sweep {
-    candidates: HashMap<MachineId, Candidate>,
-    /// Candidates in each state, in the order in which they are due.
+    targets: HashMap<MachineId, QueryTarget>,
+    /// Targets in each state, in the order in which they are due.
     waiting: BTreeSet<QueryOrder>,
     backing_off: BTreeSet<(Time, MachineId)>,
     in_flight: BTreeSet<(Time, MachineId)>,
@@ -87,7 +87,7 @@
     pub(crate) fn new(max_queries: usize) -> Sweep {
         let max_window = (max_queries as f64).max(1.0);
         Sweep {
-            candidates: HashMap::new(),
+            targets: HashMap::new(),
             waiting: BTreeSet::new(),
             backing_off: BTreeSet::new(),
             in_flight: BTreeSet::new(),
@@ -99,7 +99,7 @@
     }
 
     pub(crate) fn clear(&mut self) {
-        self.candidates.clear();
+        self.targets.clear();
         self.waiting.clear();
         self.backing_off.clear();
         self.in_flight.clear();
@@ -107,8 +107,8 @@
 
     pub(crate) fn add(&mut self, id: MachineId, size: Resources) {
         self.remove(&id);
-        let candidate = Candidate { size: size.cpus, failed_queries: 0, state: QueryState::Waiting };
-        self.insert(id, candidate);
+        let target = QueryTarget { size: size.cpus, failed_queries: 0, state: QueryState::Waiting };
+        self.insert(id, target);
     }
 
     /// Returns the machines to query now and counts them as queried.
@@ -124,7 +124,7 @@
 
     /// Records that a machine was queried.
     pub(crate) fn queried(&mut self, id: &MachineId, now: Time) {
-        if self.candidates.contains_key(id) {
+        if self.targets.contains_key(id) {
             self.set_state(id, QueryState::InFlight(now));
             self.queries += 1;
         }
@@ -132,7 +132,7 @@
 
     /// Removes a machine that is reconciled, by the answer to a query or in another way, for example by a heartbeat.
     pub(crate) fn reconciled(&mut self, id: &MachineId, now: Time) {
-        let Some(Candidate { state: QueryState::InFlight(since), .. }) = self.remove(id) else { return };
+        let Some(QueryTarget { state: QueryState::InFlight(since), .. }) = self.remove(id) else { return };
         let answer_time = now.since(since);
         if let Some(answer_times) = &mut self.answer_times {
             answer_times.saturating_record(answer_time.as_millis());
@@ -144,13 +144,13 @@
 
     /// Records that a query in flight had no usable answer, and schedules the next query to the machine.
     pub(crate) fn unanswered(&mut self, id: &MachineId, now: Time) {
-        let Some(candidate) = self.candidates.get_mut(id) else { return };
-        if !matches!(candidate.state, QueryState::InFlight(_)) {
+        let Some(target) = self.targets.get_mut(id) else { return };
+        if !matches!(target.state, QueryState::InFlight(_)) {
             return;
         }
-        let doublings = candidate.failed_queries.min(MAX_RETRY_DOUBLINGS);
+        let doublings = target.failed_queries.min(MAX_RETRY_DOUBLINGS);
         let retry_delay = MIN_RETRY_DELAY.times(f64::from(1u32 << doublings)).min(MAX_RETRY_DELAY);
-        candidate.failed_queries += 1;
+        target.failed_queries += 1;
         self.set_state(id, QueryState::BackingOff(now + retry_delay));
     }
 
@@ -182,33 +182,33 @@
     /// Returns the number of further queries that may be sent now.
     fn free_queries(&self, now: Time) -> usize {
         let recent = self.in_flight.iter().rev().take_while(|(since, _)| now.since(*since) < PROMPT_ANSWER).count();
-        let max_sockets = (MAX_SOCKETS_PER_WINDOW * self.max_window) as usize;
+        let max_in_flight = (MAX_IN_FLIGHT_WINDOWS * self.max_window) as usize;
         let free_in_window = (self.window as usize).saturating_sub(recent);
-        free_in_window.min(max_sockets.saturating_sub(self.in_flight.len()))
+        free_in_window.min(max_in_flight.saturating_sub(self.in_flight.len()))
     }
 
     fn set_state(&mut self, id: &MachineId, state: QueryState) {
-        if let Some(candidate) = self.remove(id) {
-            self.insert(id.clone(), Candidate { state, ..candidate });
+        if let Some(target) = self.remove(id) {
+            self.insert(id.clone(), QueryTarget { state, ..target });
         }
     }
 
-    fn insert(&mut self, id: MachineId, candidate: Candidate) {
-        match candidate.state {
-            QueryState::Waiting => self.waiting.insert(candidate.order(&id)),
+    fn insert(&mut self, id: MachineId, target: QueryTarget) {
+        match target.state {
+            QueryState::Waiting => self.waiting.insert(target.order(&id)),
             QueryState::BackingOff(until) => self.backing_off.insert((until, id.clone())),
             QueryState::InFlight(since) => self.in_flight.insert((since, id.clone())),
         };
-        self.candidates.insert(id, candidate);
+        self.targets.insert(id, target);
     }
 
-    fn remove(&mut self, id: &MachineId) -> Option<Candidate> {
-        let candidate = self.candidates.remove(id)?;
-        match candidate.state {
-            QueryState::Waiting => self.waiting.remove(&candidate.order(id)),
+    fn remove(&mut self, id: &MachineId) -> Option<QueryTarget> {
+        let target = self.targets.remove(id)?;
+        match target.state {
+            QueryState::Waiting => self.waiting.remove(&target.order(id)),
             QueryState::BackingOff(until) => self.backing_off.remove(&(until, id.clone())),
             QueryState::InFlight(since) => self.in_flight.remove(&(since, id.clone())),
         };
-        Some(candidate)
+        Some(target)
     }
 }
--- a/crates/reconciliation/src/unreconciled_machines.rs
+++ b/crates/reconciliation/src/unreconciled_machines.rs
@@ -30,8 +30,8 @@
     machines: BTreeMap<MachineId, MachineClass>,
     /// Number of unreconciled machines of each class. Has few entries, whatever the size of the fleet.
     count_by_class: BTreeMap<MachineClass, u64>,
-    /// Resources, by team, of the attempts that were found running when their machines were reconciled. Not reduced when
-    /// these attempts end; see `max_usage`.
+    /// Resources, by team, of the attempts that were found running when their machines were reconciled. Not reduced
+    /// when these attempts end; see `max_usage`.
     found_by_team: HashMap<Name, Resources>,
 }
 
@@ -96,23 +96,23 @@
         let total_capacity = self
             .count_by_class
             .iter()
-            .fold(others, |sum, (class, count)| sum.plus(&multiplied(capacity(&class.kind), *count)));
+            .fold(others, |sum, (class, count)| sum.plus(&scaled(capacity(&class.kind), *count)));
         let Some(limit) = limit else { return total_capacity };
         let found = self.found_by_team.get(team).copied().unwrap_or_default();
         Resources {
-            cpus: total_capacity.cpus.min(left_of(limit.cpus, found.cpus)),
-            gpus: total_capacity.gpus.min(left_of(limit.gpus, found.gpus)),
+            cpus: total_capacity.cpus.min(remaining(limit.cpus, found.cpus)),
+            gpus: total_capacity.gpus.min(remaining(limit.gpus, found.gpus)),
             memory: total_capacity.memory,
         }
     }
 }
 
-fn multiplied(resources: Resources, count: u64) -> Resources {
+fn scaled(resources: Resources, count: u64) -> Resources {
     let multiply = |quantity: Quantity| Quantity(quantity.0.saturating_mul(count));
     Resources { cpus: multiply(resources.cpus), gpus: multiply(resources.gpus), memory: multiply(resources.memory) }
 }
 
 /// Returns the unused part of a limit. Without a limit it is unbounded.
-fn left_of(limit: Option<Quantity>, used: Quantity) -> Quantity {
+fn remaining(limit: Option<Quantity>, used: Quantity) -> Quantity {
     limit.map_or(Quantity(u64::MAX), |limit| Quantity(limit.0.saturating_sub(used.0)))
 }
--- a/src/coordination/controller.rs
+++ b/src/coordination/controller.rs
@@ -189,14 +189,14 @@
         self.cloud.set_share(self.settings.cloud_rps * share_of_changes);
     }
 
-    /// Returns this node's fraction of a rate limit. `even_part` of the limit is divided evenly among all
+    /// Returns this node's fraction of a rate limit. `even_fraction` of the limit is divided evenly among all
     /// controllers, and the rest evenly among the shards that take the teams' jobs, for their leaders. While the leader
     /// of a shard cannot be reached, the fraction of that shard is divided evenly among all controllers too, because
     /// every controller then accepts the shard's jobs.
-    fn share_of_limit(&self, even_part: f64) -> f64 {
+    fn share_of_limit(&self, even_fraction: f64) -> f64 {
         let nodes = self.settings.nodes.len() as f64;
         let team_shards = self.settings.team_shards();
-        let part_of = |shard: ShardId| {
+        let fraction_of_shard = |shard: ShardId| {
             if self.shards.contains_key(&shard) {
                 1.0
             } else if self.reachable_leader(shard).is_some() {
@@ -205,8 +205,8 @@
                 1.0 / nodes
             }
         };
-        let parts: f64 = (0..team_shards).map(ShardId).map(part_of).sum();
-        even_part / nodes + (1.0 - even_part) * parts / f64::from(team_shards)
+        let led_shards: f64 = (0..team_shards).map(ShardId).map(fraction_of_shard).sum();
+        even_fraction / nodes + (1.0 - even_fraction) * led_shards / f64::from(team_shards)
     }
 
     /// Returns the shard that takes all jobs and machines if there is only one such shard. No record has to be read in
@@ -395,8 +395,8 @@
         }
     }
 
-    /// Completes the state service calls that were not sent for lack of an admission, as if the service had refused them
-    /// because a rate limit was exceeded.
+    /// Completes the state service calls that were not sent for lack of an admission, as if the service had refused
+    /// them because a rate limit was exceeded.
     fn refuse_calls_not_admitted(&mut self) {
         for PendingStateCall { sent, operation, .. } in self.calls.take_not_admitted() {
             self.complete_state_call(sent, operation, Err(CallError::Refused { over_limit: true }));
--- a/src/coordination/worker_heartbeats/direct_calls.rs
+++ b/src/coordination/worker_heartbeats/direct_calls.rs
@@ -11,12 +11,12 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 
-/// Maximum number of machines that are called directly to stop the tasks of one cancelled job. Each call takes a socket;
-/// the other machines get the commands in answers to their heartbeats.
+/// Maximum number of machines that are called directly to stop the tasks of one cancelled job. Each call takes a
+/// socket; the other machines get the commands in answers to their heartbeats.
 const MAX_DIRECT_STOPS: usize = 64;
 
 /// Number of heartbeat intervals without a heartbeat after which a machine is probed.
-const SILENT_INTERVALS: f64 = 2.0;
+const PROBE_AFTER_INTERVALS: f64 = 2.0;
 
 /// Direct call that is ready to be sent.
 struct DirectCall {
@@ -29,8 +29,8 @@
 }
 
 impl DirectCall {
-    /// Creates a call with the given commands under the machine's present token and epoch. Without commands the call is a
-    /// probe.
+    /// Creates a call with the given commands under the machine's present token and epoch. Without commands the call is
+    /// a probe.
     fn new(id: &MachineId, machine: &Machine, commands: Vec<Command>) -> DirectCall {
         let request = WorkerCall { token: machine.token, epoch: machine.last_heartbeat.epoch, commands };
         DirectCall { machine: id.clone(), addr: machine.addr, request }
@@ -45,14 +45,14 @@
         }
     }
 
-    /// Probes reconciled machines with unfinished attempts that have been silent for [`SILENT_INTERVALS`], to find
+    /// Probes reconciled machines with unfinished attempts that have been silent for [`PROBE_AFTER_INTERVALS`], to find
     /// out whether they are up.
     pub(super) fn probe_silent_machines(&mut self, shard_id: ShardId) {
-        let (now, patience) = (self.now, self.settings.heartbeat_interval.times(SILENT_INTERVALS));
+        let (now, max_silence) = (self.now, self.settings.heartbeat_interval.times(PROBE_AFTER_INTERVALS));
         let Some(shard) = self.shards.get_mut(&shard_id) else { return };
         let mut calls = Vec::new();
         for (id, machine) in &mut shard.machines {
-            let is_silent = machine.reconciled && now.since(machine.seen) > patience && !machine.is_empty();
+            let is_silent = machine.reconciled && now.since(machine.seen) > max_silence && !machine.is_empty();
             if is_silent && !machine.probing && !machine.deleting {
                 machine.probing = true;
                 calls.push(DirectCall::new(id, machine, Vec::new()));
@@ -87,9 +87,9 @@
         }
     }
 
-    /// Stops the attempts of a cancelled job that were sent to a machine and have not been reported running. Without the
-    /// direct call they could begin to run before the next heartbeat of their machine, after the user was told that the
-    /// job is cancelled. Running attempts are stopped in answers to heartbeats.
+    /// Stops the attempts of a cancelled job that were sent to a machine and have not been reported running. Without
+    /// the direct call they could begin to run before the next heartbeat of their machine, after the user was told that
+    /// the job is cancelled. Running attempts are stopped in answers to heartbeats.
     pub(in crate::coordination) fn stop_unstarted(&mut self, shard_id: ShardId, job_id: &JobId) {
         let Some(shard) = self.shards.get(&shard_id) else { return };
         let Some(job) = shard.jobs.get(job_id) else { return };
@@ -126,11 +126,11 @@
         let mut attempts: Vec<_> = job.progress.running.values().collect();
         attempts.sort();
         let mut stops: BTreeMap<&MachineId, Vec<Command>> = BTreeMap::new();
-        for AttemptLocation { machine: machine_id, attempt: no } in attempts {
+        for AttemptLocation { machine: machine_id, attempt: number } in attempts {
             let machine = self.machines.get(machine_id).filter(|machine| machine.reconciled && !machine.deleting);
-            let Some(attempt) = machine.and_then(|machine| machine.attempts.get(no)) else { continue };
+            let Some(attempt) = machine.and_then(|machine| machine.attempts.get(number)) else { continue };
             if !attempt.is_over() && attempt.running_since.is_none() {
-                let stop = Command::Stop { task: attempt.task.clone(), attempt: *no, grace_s: 0.0 };
+                let stop = Command::Stop { task: attempt.task.clone(), attempt: *number, grace_s: 0.0 };
                 stops.entry(machine_id).or_default().push(stop);
             }
         }
@@ -141,10 +141,10 @@
     fn preemption_call(&self, preemption: &Preemption) -> Option<DirectCall> {
         let Preemption { machine: id, victims } = preemption;
         let machine = self.machines.get(id)?;
-        let stops = victims.iter().filter_map(|no| {
-            let attempt = machine.attempts.get(no)?;
+        let stops = victims.iter().filter_map(|number| {
+            let attempt = machine.attempts.get(number)?;
             log::debug!("task {} on machine {id}: preempted; sending a stop command to the worker", attempt.task);
-            Some(Command::Stop { task: attempt.task.clone(), attempt: *no, grace_s: attempt.stop? })
+            Some(Command::Stop { task: attempt.task.clone(), attempt: *number, grace_s: attempt.stop? })
         });
         Some(DirectCall::new(id, machine, stops.collect()))
     }
--- a/src/coordination/worker_heartbeats/graceful_eviction.rs
+++ b/src/coordination/worker_heartbeats/graceful_eviction.rs
@@ -13,8 +13,8 @@
 const STOP_MARGIN_S: f64 = 1.0;
 
 impl Shard {
-    /// Marks the attempts that must be stopped now on a machine that the cloud is about to take away. Does nothing if the
-    /// cloud has announced nothing for the machine.
+    /// Marks the attempts that must be stopped now on a machine that the cloud is about to take away. Does nothing if
+    /// the cloud has announced nothing for the machine.
     pub(super) fn plan_graceful_eviction(&mut self, id: &MachineId, context: &PlacementContext) {
         let Some(machine) = self.machines.get_mut(id) else { return };
         let Some(taken_at) = machine.notice else { return };
--- a/src/coordination/worker_heartbeats/mod.rs
+++ b/src/coordination/worker_heartbeats/mod.rs
@@ -26,15 +26,15 @@
 /// Purpose of a call to the state service that concerns the record of a machine.
 pub(super) enum MachineOperation {
     /// Reads the record of a machine to find its shard.
-    Find { requester: Requester, heartbeat: Box<WorkerHeartbeat> },
+    FindShard { requester: Requester, heartbeat: Box<WorkerHeartbeat> },
     /// Writes the record of a new machine. Its heartbeats are answered with 200 only once the record is durable.
     Register { leadership: LeadershipTerm, requester: Requester, heartbeat: Box<WorkerHeartbeat> },
     /// Removes the record of a machine that no longer exists.
     RemoveRecord { leadership: LeadershipTerm, machine: MachineId, version: Revision },
     /// Changes the shard in the record of a machine.
     Transfer { leadership: LeadershipTerm, machine: MachineId, to: ShardId },
-    /// Reads the record of a machine that may belong to this shard: it was transferred here, or its registration found a
-    /// record of which this node did not know.
+    /// Reads the record of a machine that may belong to this shard: it was transferred here, or its registration found
+    /// a record of which this node did not know.
     Fetch { leadership: LeadershipTerm },
 }
 
@@ -42,7 +42,7 @@
     /// Returns the traffic class under which the call is admitted.
     pub fn traffic_class(&self) -> TrafficClass {
         match self {
-            MachineOperation::Find { .. } => TrafficClass::RecordRead,
+            MachineOperation::FindShard { .. } => TrafficClass::RecordRead,
             MachineOperation::Register { .. } => TrafficClass::MachineRecord,
             MachineOperation::RemoveRecord { .. } => TrafficClass::StaleRecord,
             MachineOperation::Transfer { .. } | MachineOperation::Fetch { .. } => TrafficClass::MachineTransfer,
@@ -55,7 +55,7 @@
             MachineOperation::Register { leadership, .. }
             | MachineOperation::RemoveRecord { leadership, .. }
             | MachineOperation::Transfer { leadership, .. } => Some(*leadership),
-            MachineOperation::Find { .. } | MachineOperation::Fetch { .. } => None,
+            MachineOperation::FindShard { .. } | MachineOperation::Fetch { .. } => None,
         }
     }
 
@@ -69,8 +69,8 @@
     /// Continues a machine operation with the answer of the state service.
     pub(super) fn machine_operation_answered(&mut self, operation: MachineOperation, answer: StateResult) {
         match operation {
-            MachineOperation::Find { requester, heartbeat } => {
-                self.machine_found(requester, heartbeat, answer);
+            MachineOperation::FindShard { requester, heartbeat } => {
+                self.machine_shard_found(requester, heartbeat, answer);
             }
             MachineOperation::Register { leadership, requester, heartbeat } => {
                 self.machine_registered(leadership, requester, heartbeat, answer);
@@ -85,8 +85,8 @@
         }
     }
 
-    /// Runs the periodic work: registers waiting machines, gives up attempts on dead machines, preempts tasks and probes
-    /// silent machines.
+    /// Runs the periodic work: registers waiting machines, gives up attempts on dead machines, preempts tasks and
+    /// probes silent machines.
     pub(super) fn workers_tick(&mut self) {
         self.register_waiting_machines();
         let probes_are_due = self.registrations.begin_tick(self.now);
@@ -102,7 +102,7 @@
                 // on machines that are silent here, so this node must not give them up and start them elsewhere.
                 continue;
             }
-            self.give_up_dead_machines(id);
+            self.give_up_attempts_on_dead_machines(id);
             self.preempt_tasks(id);
             if probes_are_due {
                 self.probe_silent_machines(id);
@@ -125,7 +125,7 @@
 
     /// Gives up the attempts on machines whose worker lease has certainly expired, so that their tasks can be started
     /// elsewhere.
-    fn give_up_dead_machines(&mut self, id: ShardId) {
+    fn give_up_attempts_on_dead_machines(&mut self, id: ShardId) {
         let (now, worker_lease) = (self.now, self.settings.worker_lease);
         let Some(shard) = self.shards.get_mut(&id) else { return };
         let leader_lease = &shard.leadership.leader_lease;
--- a/src/coordination/worker_heartbeats/registration.rs
+++ b/src/coordination/worker_heartbeats/registration.rs
@@ -30,13 +30,13 @@
     /// One heartbeat of each waiting machine, the oldest first.
     pending: VecDeque<PendingRegistration>,
     /// Time of the last tick, by which the probe interval is kept.
-    last_tick: Time,
+    last_tick_at: Time,
 }
 
 impl Registrations {
     /// Records the time of a tick. Returns `true` if a new probe interval has begun since the last tick.
     pub(super) fn begin_tick(&mut self, now: Time) -> bool {
-        let previous = std::mem::replace(&mut self.last_tick, now);
+        let previous = std::mem::replace(&mut self.last_tick_at, now);
         now.0 / PROBE_INTERVAL.0 != previous.0 / PROBE_INTERVAL.0
     }
 
@@ -60,7 +60,8 @@
 }
 
 impl Controller {
-    /// Registers waiting machines as far as the rate limit on writes allows, and refuses heartbeats that have timed out.
+    /// Registers waiting machines as far as the rate limit on writes allows, and refuses heartbeats that have timed
+    /// out.
     pub(super) fn register_waiting_machines(&mut self) {
         let now = self.now;
         while let Some(first) = self.registrations.pending.front() {
@@ -77,8 +78,8 @@
         }
     }
 
-    /// Continues with a heartbeat that was queued. Another controller may lead its shard by now, or the machine may have
-    /// been registered.
+    /// Continues with a heartbeat that was queued. Another controller may lead its shard by now, or the machine may
+    /// have been registered.
     fn resume_registration(&mut self, registration: PendingRegistration) {
         let PendingRegistration { requester, shard: shard_id, heartbeat, .. } = registration;
         let is_unregistered = self
@@ -95,7 +96,7 @@
     /// Handles a heartbeat of a machine that is not among the loaded machines of any shard of this node.
     pub(super) fn handle_unregistered_heartbeat(&mut self, requester: Requester, heartbeat: Box<WorkerHeartbeat>) {
         let Some(shard_id) = self.presumed_shard(&heartbeat.machine) else {
-            return self.find_machine(requester, heartbeat);
+            return self.find_machine_shard(requester, heartbeat);
         };
         match self.shards.get_mut(&shard_id) {
             Some(shard) if !shard.is_active() => {
@@ -113,16 +114,21 @@
     }
 
     /// Reads the record of a machine to find its shard: another controller may have registered it.
-    fn find_machine(&mut self, requester: Requester, heartbeat: Box<WorkerHeartbeat>) {
+    fn find_machine_shard(&mut self, requester: Requester, heartbeat: Box<WorkerHeartbeat>) {
         if !self.admits(TrafficClass::RecordRead) {
             return self.reply(requester, Reply::busy(BusyReason::TooManyMachineReads));
         }
         let request = StateCall::Get(keys::machine_key(&heartbeat.machine));
-        self.call_state(request, MachineOperation::Find { requester, heartbeat });
+        self.call_state(request, MachineOperation::FindShard { requester, heartbeat });
     }
 
     /// Continues with the heartbeat of a machine whose record was read to find its shard.
-    pub(super) fn machine_found(&mut self, requester: Requester, heartbeat: Box<WorkerHeartbeat>, answer: StateResult) {
+    pub(super) fn machine_shard_found(
+        &mut self,
+        requester: Requester,
+        heartbeat: Box<WorkerHeartbeat>,
+        answer: StateResult,
+    ) {
         let shard_id = match answer {
             Ok(StateAnswer::Found(entry)) => match serde_json::from_value::<MachineRecord>(entry.value) {
                 Ok(record) => record.shard,
@@ -153,8 +159,8 @@
     }
 
     /// Returns `true` if a machine without a record was returned to the cloud. Its last heartbeats may arrive late and
-    /// must not register it again. A machine whose fencing token shows that it was answered before had a record. If that
-    /// record is gone, the machine was returned: it counts as removed once the cloud's list no longer contains it.
+    /// must not register it again. A machine whose fencing token shows that it was answered before had a record. If
+    /// that record is gone, the machine was returned: it counts as removed once the cloud's list no longer contains it.
     fn is_removed(&self, heartbeat: &WorkerHeartbeat) -> bool {
         let machine = &heartbeat.machine;
         let record_is_being_removed =
@@ -165,8 +171,8 @@
             || was_answered && !self.cloud.machine_list().contains(machine)
     }
 
-    /// Writes the record of a machine for the given shard, or queues the heartbeat if no write is admitted now. Heartbeats
-    /// of the machine are answered with 200 only once the record is durable.
+    /// Writes the record of a machine for the given shard, or queues the heartbeat if no write is admitted now.
+    /// Heartbeats of the machine are answered with 200 only once the record is durable.
     fn register_machine(&mut self, requester: Requester, shard_id: ShardId, heartbeat: Box<WorkerHeartbeat>) {
         let is_being_registered = self.is_being_registered(&heartbeat.machine);
         let leadership = match self.shards.get(&shard_id) {
--- a/src/coordination/worker_heartbeats/serving.rs
+++ b/src/coordination/worker_heartbeats/serving.rs
@@ -13,8 +13,8 @@
 
 /// Validity of the task list of a heartbeat.
 enum TaskListValidity {
-    /// Older than what is known of the machine, or possibly sent before commands of a former leader were executed. It is
-    /// not applied.
+    /// Older than what is known of the machine, or possibly sent before commands of a former leader were executed. It
+    /// is not applied.
     Outdated,
     /// Newer than all that is known of the machine.
     Current,
@@ -64,9 +64,9 @@
 
     /// Returns the commands for the answer to a heartbeat of the machine.
     fn heartbeat_commands(&mut self, shard_id: ShardId, machine_id: &MachineId) -> Vec<Command> {
-        // Stopping tasks whose job has ended is always safe. Without a valid leader lease, tasks are started only if the
-        // property recovery.hold-on is set, and only while worker leases are still renewed: see "Starting tasks during
-        // an outage" in docs/reconciliation.md.
+        // Stopping tasks whose job has ended is always safe. Without a valid leader lease, tasks are started only if
+        // the property recovery.hold-on is set, and only while worker leases are still renewed: see "Starting tasks
+        // during an outage" in docs/reconciliation.md.
         let may_start_tasks = self.may_decide(shard_id) || self.settings.properties.recovery.hold_on;
         let context = PlacementContext {
             settings: &self.settings,
@@ -105,8 +105,8 @@
 }
 
 impl Machine {
-    /// Records what a heartbeat that is being answered with 200 shows of the machine itself, and returns the validity of
-    /// its task list.
+    /// Records what a heartbeat that is being answered with 200 shows of the machine itself, and returns the validity
+    /// of its task list.
     fn record_heartbeat(
         &mut self,
         heartbeat: &WorkerHeartbeat,
@@ -114,8 +114,8 @@
         now: Time,
         worker_lease: Span,
     ) -> TaskListValidity {
-        let position = HeartbeatNumber::of(heartbeat);
-        if position <= self.last_heartbeat {
+        let number = HeartbeatNumber::of(heartbeat);
+        if number <= self.last_heartbeat {
             // The heartbeat was delayed, or overtaken by the answer to a direct call.
             self.answered = Some(now);
             return TaskListValidity::Outdated;
@@ -123,7 +123,7 @@
         let answer_evidence = self.answer_evidence(heartbeat);
         self.answer_loss.record_heartbeat(now, heartbeat.epoch, answer_evidence, self.answered, worker_lease);
         let was_never_used = self.reconciled && self.answered.is_none() && self.attempts.is_empty();
-        self.last_heartbeat = position;
+        self.last_heartbeat = number;
         self.seen = now;
         if is_relayed {
             self.relayed_at = Some(now);
@@ -146,23 +146,23 @@
 
     /// Returns the commands that stop attempts, and those that make the worker forget attempts that are over.
     fn cleanup_commands(&self, jobs: &HashMap<JobId, Job>, max_commands: usize) -> Vec<Command> {
-        let commands = self.attempts.iter().filter_map(|(no, attempt)| cleanup_command(*no, attempt, jobs));
+        let commands = self.attempts.iter().filter_map(|(number, attempt)| cleanup_command(*number, attempt, jobs));
         commands.take(max_commands).collect()
     }
 }
 
-/// Returns the command that stops an attempt or makes the worker forget it, or `None` if neither is due. An attempt that
-/// is already saving its progress is stopped only if it gets no time for that.
-fn cleanup_command(no: AttemptNumber, attempt: &Attempt, jobs: &HashMap<JobId, Job>) -> Option<Command> {
+/// Returns the command that stops an attempt or makes the worker forget it, or `None` if neither is due. An attempt
+/// that is already saving its progress is stopped only if it gets no time for that.
+fn cleanup_command(number: AttemptNumber, attempt: &Attempt, jobs: &HashMap<JobId, Job>) -> Option<Command> {
     let task = attempt.task.clone();
     if attempt.is_over() {
         // The worker may forget a result only once the job's record contains it.
         let result_is_unrecorded = jobs
             .get(&task.job)
             .is_some_and(|job| job.progress.done.contains(task.task.0) && !job.record.recorded.contains(task.task.0));
-        return (!result_is_unrecorded).then_some(Command::Forget { task, attempt: no });
+        return (!result_is_unrecorded).then_some(Command::Forget { task, attempt: number });
     }
     let grace_s = attempt.stop_within(jobs)?;
     let is_saving = attempt.state == Some(TaskState::Saving);
-    (!(is_saving && grace_s > 0.0)).then_some(Command::Stop { task, attempt: no, grace_s })
+    (!(is_saving && grace_s > 0.0)).then_some(Command::Stop { task, attempt: number, grace_s })
 }
