--- a/src/coordination/forwarding.rs
+++ b/src/coordination/forwarding.rs
@@ -1,4 +1,4 @@
-//! Requests of this node's clients that are forwarded to another controller, since that leads the shard.
+//! Requests of this node's clients that are forwarded to the controller that leads their shard.
 
 use super::controller::Controller;
 use super::events::{ClientRequestId, Requester};
@@ -9,34 +9,36 @@
 use crate::time::{Span, Time};
 use std::collections::BTreeMap;
 
-/// How long another controller may take to answer a forwarded request.
+/// Time within which another controller must answer a forwarded request.
 const FORWARD_TIMEOUT: Span = Span::millis(1500);
-/// The same for a submission. It is shorter, since this node can then still accept the job in time.
+/// Time within which another controller must answer a forwarded submission. Shorter than [`FORWARD_TIMEOUT`], so that
+/// this node can still accept the job itself in time.
 const SUBMIT_TIMEOUT: Span = Span::millis(500);
 
-/// The forwarded requests that are not answered yet.
+/// Forwarded requests that are not answered yet.
 #[derive(Default)]
 pub(super) struct ForwardedRequests {
-    /// By the numbers under which they were sent.
+    /// Requests by the number under which they were sent to the leader.
     waiting: BTreeMap<u64, Forwarded>,
 }
 
-/// A request that was forwarded to the leader of its shard.
+/// Request that was forwarded to the leader of its shard.
 struct Forwarded {
     client_request: ClientRequestId,
+    /// Time at which the request times out.
     deadline: Time,
     kind: ForwardedKind,
 }
 
-/// What was forwarded, as far as it matters when it is answered or times out.
+/// Kind of a forwarded request, with what is needed to answer it if the leader cannot.
 enum ForwardedKind {
-    /// If the leader cannot accept the job, this node may be able to.
+    /// Submission. If the leader does not accept the job, this node tries to accept it.
     Submission(Box<JobSpec>),
-    /// If the leader does not answer, the job's record can be read instead.
+    /// Poll of a job's state. If the leader does not answer, the job's record is read instead.
     Poll(JobId),
-    /// Only the leader can answer.
+    /// Request about a job that only the leader can answer.
     LeaderOnly(JobId),
-    /// A worker heartbeat.
+    /// Relayed worker heartbeat.
     WorkerHeartbeat,
 }
 
@@ -61,7 +63,8 @@
 }
 
 impl Controller {
-    /// Forwards a request of a client of this node to the leader of a shard.
+    /// Forwards a request of a client of this node to the leader of a shard. Refuses requests of other controllers, so
+    /// that no request is forwarded twice.
     pub(super) fn forward(&mut self, requester: Requester, shard: ShardId, request: ForwardedRequest) {
         let Requester::Local(client_request) = requester else {
             return self.reply(requester, Reply::busy(BusyReason::NotLeader));
@@ -76,7 +79,7 @@
         self.send_to_peer(leader, PeerMessage::ClientRequest { number, shard, client_request: request });
     }
 
-    /// Answers a request for a shard whose leader cannot be reached.
+    /// Answers a request for a shard whose leader is unknown or cannot be reached.
     fn answer_without_leader(&mut self, requester: Requester, request: ForwardedRequest) {
         match request {
             ForwardedRequest::Submit(spec) | ForwardedRequest::SubmitWaiting(spec) => {
@@ -87,14 +90,15 @@
         }
     }
 
-    /// The peer that leads a shard, if it is reachable.
+    /// Returns the peer that leads a shard if it is reachable.
     pub(super) fn reachable_leader(&self, shard: ShardId) -> Option<NodeLabel> {
         let leader = self.leader_of(shard)?;
         let peer = self.membership.peer(leader)?;
         peer.is_reachable(self.now).then(|| leader.clone())
     }
 
-    /// Passes the answer to a forwarded request to the client, or finds another answer if the leader has none.
+    /// Passes the leader's reply to a forwarded request to the client. If the leader is not able to answer a submission
+    /// or a poll (status 503), this node answers it from the records instead.
     pub(super) fn forwarded_request_answered(&mut self, number: u64, reply: Reply) {
         let Some(forwarded) = self.forwarded.waiting.remove(&number) else { return };
         let requester = Requester::Local(forwarded.client_request);
@@ -109,7 +113,8 @@
         }
     }
 
-    /// Answers the forwarded requests that have timed out.
+    /// Answers the forwarded requests that have timed out: submissions and polls from the records, others with a
+    /// refusal or a redirect.
     pub(super) fn expire_forwarded_requests(&mut self) {
         let now = self.now;
         let expired = self.forwarded.waiting.extract_if(.., |_, forwarded| forwarded.deadline <= now);
--- a/src/coordination/job_record_reads.rs
+++ b/src/coordination/job_record_reads.rs
@@ -1,4 +1,4 @@
-//! Reading the records of one job by its id: the live record first, then the final record.
+//! Reads of the records of one job by its id: the live record first, then the final record.
 
 use crate::model::{JobId, Revision};
 use crate::protocol::state::StateResult;
@@ -7,44 +7,44 @@
 use crate::storage::records::{EndRecord, LiveRecord};
 use serde::de::DeserializeOwned;
 
-/// One of the two records that a job can have. At any time an accepted job has exactly one of them.
+/// Kind of a job's record. At any time an accepted job has exactly one record: a live record or a final record.
 ///
-/// A job moves from its live record to its final record in one transaction. So a reader that asks for the live record
-/// first and for the final record second also finds a job that ends between the two reads.
+/// One transaction replaces the live record by the final record. A reader that reads the live record first and the
+/// final record second therefore also finds a job that ends between the two reads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum JobRecordKind {
-    /// The record of a job that has not ended.
+    /// Record of a job that has not ended.
     Live,
-    /// The record of how a job has ended.
+    /// Record of the end of a job.
     Final,
 }
 
-/// A live record together with the version in which it was read.
+/// Live record together with the version in which it was read.
 pub(super) struct VersionedRecord {
-    /// The record.
+    /// Content of the record.
     pub record: LiveRecord,
-    /// The version of the record in the state service.
+    /// Version of the record in the state service.
     pub version: Revision,
 }
 
-/// What the answer to a read of one of a job's records shows.
+/// Outcome of a read of one of a job's records.
 pub(super) enum JobRecordAnswer {
     /// The job has not ended.
     Live(Box<VersionedRecord>),
     /// The job has ended.
     Final(EndRecord),
-    /// There is no live record, so the final record has to be read next.
+    /// The job has no live record, so the final record has to be read next.
     NotLive,
-    /// There is no final record either: the job was never accepted.
+    /// The job has no final record. If it had no live record before, it was never accepted.
     NoSuchJob,
-    /// The record is there but cannot be parsed.
+    /// The record exists but cannot be parsed.
     Unreadable(serde_json::Error),
-    /// The state service did not answer the read.
+    /// The state service refused the read or did not answer it.
     Unanswered,
 }
 
 impl JobRecordKind {
-    /// The request that reads this record of a job.
+    /// Returns the request that reads the record of this kind of a job.
     pub fn request(self, job: &JobId) -> StateCall {
         StateCall::Get(match self {
             JobRecordKind::Live => keys::live_key(job),
@@ -52,7 +52,7 @@
         })
     }
 
-    /// What the answer to a read of this record shows.
+    /// Interprets the answer to a read of a record of this kind.
     pub fn interpret(self, answer: StateResult) -> JobRecordAnswer {
         match (self, answer) {
             (JobRecordKind::Live, Ok(StateAnswer::Found(entry))) => Self::parse_live(entry),
@@ -65,7 +65,7 @@
         }
     }
 
-    /// What the entry of a live record shows.
+    /// Parses the entry of a live record.
     fn parse_live(entry: Entry) -> JobRecordAnswer {
         let version = entry.version;
         match parse(entry) {
@@ -75,7 +75,7 @@
     }
 }
 
-/// Parses the record of an entry.
+/// Parses the value of an entry.
 fn parse<Record: DeserializeOwned>(entry: Entry) -> Result<Record, serde_json::Error> {
     serde_json::from_value(entry.value)
 }
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -1,8 +1,8 @@
 //! The coordination layer: leadership of shards, job queues and placement, quotas, and the fleet of machines.
 //!
-//! Nothing in this layer does input or output or reads a clock. [`Controller`] takes events and a clock reading and returns
-//! actions, so the tests drive the same code in simulated time. Each component of the controller has a module of its
-//! own, which defines its state and the part of the controller that works on it.
+//! Nothing in this layer performs I/O or reads a clock. [`Controller`] takes events together with a clock reading and
+//! returns actions, so that tests can run the same code in simulated time. Each component of the controller has a
+//! module of its own, which defines the component's state and the `impl Controller` block that works on it.
 
 mod boot_statistics;
 mod cloud;
--- a/src/coordination/outbound_calls.rs
+++ b/src/coordination/outbound_calls.rs
@@ -1,4 +1,5 @@
-//! Calls to outside services that are in flight, and this node's share of the services' rate limits.
+//! Outbound calls in flight: to the state service, the cloud and workers. Calls to the state service are admitted here
+//! within this node's share of its rate limits.
 
 use super::events::{Action, OutboundCallId};
 use super::pending_calls::{CloudOperation, PendingWorkerCall};
@@ -14,43 +15,45 @@
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
 
-/// How often the log says what was written to the state service.
+/// Interval at which the writes to the state service are logged.
 const USAGE_LOG_INTERVAL: Span = Span::millis(60_000);
 
-/// A call to the state service that is in flight.
+/// Call to the state service that is in flight.
 pub(super) struct PendingStateCall {
-    /// When the call was sent.
+    /// Time at which the call was sent.
     pub sent: Time,
-    /// What to do with its answer.
+    /// Purpose of the call, by which its answer is dispatched.
     pub operation: StateOperation,
-    /// The kinds of records that the call changes.
+    /// Kinds of the records that the call writes.
     record_kinds: Vec<RecordKind>,
 }
 
-/// Collects the actions that one event leads to and remembers the calls among them until they are answered.
+/// Collector of the actions that one event leads to. Keeps the calls among them until they are answered.
 pub(super) struct OutboundCalls {
-    /// The actions of the event that is being handled.
+    /// Actions of the event that is being handled.
     actions: Vec<Action>,
+    /// Number of the last call id that was assigned.
     last_call: u64,
     state_calls: HashMap<OutboundCallId, PendingStateCall>,
     cloud_calls: HashMap<OutboundCallId, CloudOperation>,
     worker_calls: HashMap<OutboundCallId, PendingWorkerCall>,
-    /// This node's share of the state service's limits.
+    /// Admission within this node's share of the state service's rate limits.
     admission: StateAdmission,
-    /// How many calls should have been admitted before and were not.
+    /// Number of calls of bounded traffic classes that were to be sent without having been admitted.
     invariant_violations: u64,
-    /// Calls to the state service that were not sent, since they should have been admitted before and were not.
+    /// Calls to the state service that were not sent, because they had not been admitted.
     not_admitted: Vec<PendingStateCall>,
-    /// How many changes per second the state service allows: the present limit until it refuses a request, then the
-    /// announced stricter one.
+    /// Writes per second that the state service accepts from all controllers: the present limit until the service
+    /// refuses a request, then the stricter limit that was announced.
     changes_per_second: f64,
-    /// What was written since it was last logged.
+    /// Records written since the last log line about them.
     usage: WriteUsage,
+    /// Time of the last log line about writes.
     usage_logged_at: Time,
 }
 
 impl OutboundCalls {
-    /// Returns the state in which nothing is in flight yet.
+    /// Creates a collector without any call in flight.
     pub fn new(settings: &Settings, now: Time) -> OutboundCalls {
         OutboundCalls {
             actions: Vec::new(),
@@ -67,47 +70,48 @@
         }
     }
 
-    /// Adds an action that is not a call.
+    /// Adds an action that has no outcome to wait for.
     pub fn push(&mut self, action: Action) {
         self.actions.push(action);
     }
 
-    /// Returns the actions collected since the last time.
+    /// Returns the actions that were collected since the previous call.
     pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 
-    /// Returns a call id that was never used before by this process.
+    /// Returns a call id that this process has not used before.
     pub fn next_call_id(&mut self) -> OutboundCallId {
         self.last_call += 1;
         OutboundCallId(self.last_call)
     }
 
-    /// Whether a call of this class may be sent to the state service now. If so it has to be sent at once.
+    /// Returns `true` if a call of this class may be sent to the state service now. The caller must then send it before
+    /// the next event is handled.
     pub fn admits(&mut self, now: Time, class: TrafficClass) -> bool {
         self.admission.admits(now, class)
     }
 
-    /// Whether a call to the state service that can wait would be admitted.
+    /// Returns `true` if so little of the rate limits is in use that a background write would be admitted.
     pub fn is_quiet(&mut self, now: Time) -> bool {
         self.admission.is_quiet(now)
     }
 
-    /// Returns after how many seconds a client whose call was not admitted should retry.
+    /// Returns the seconds after which a client whose call was not admitted should retry.
     pub fn retry_after(&mut self, now: Time, class: TrafficClass) -> u32 {
         self.admission.retry_after(now, class)
     }
 
-    /// Admits the next call of an operation whose first call was admitted.
+    /// Admits the next call of an operation whose first call was admitted, whatever the rate limits say.
     pub fn admit_next_step(&mut self, now: Time, class: TrafficClass) {
         self.admission.admit_next_step(now, class);
     }
 
-    /// Sends a request to the state service. One of a bounded class that was not admitted is refused instead, which is
-    /// an error in this program.
+    /// Sends a request to the state service. A request of a bounded traffic class that was not admitted is a
+    /// programming error: it is not sent but kept for [`OutboundCalls::take_not_admitted`].
     pub fn send_to_state(&mut self, now: Time, request: StateCall, operation: StateOperation) {
         if let Err(error) = self.admission.send(now, operation.traffic_class(), request.writes()) {
-            log::error!("invariant violated: {error}: {request:?}");
+            log::error!("invariant violated: {error}; not sending it: {request:?}");
             self.invariant_violations += 1;
             self.not_admitted.push(PendingStateCall { sent: now, operation, record_kinds: Vec::new() });
             return;
@@ -121,12 +125,12 @@
         self.actions.push(Action::State { call, request });
     }
 
-    /// How often this program broke a rule of its own, and refused what would have followed.
+    /// Returns the number of calls that were not sent because they had not been admitted.
     pub fn invariant_violations(&self) -> u64 {
         self.invariant_violations
     }
 
-    /// Takes out the calls that were not sent because they had not been admitted.
+    /// Takes the calls that were not sent because they had not been admitted. The caller completes them as refused.
     pub fn take_not_admitted(&mut self) -> Vec<PendingStateCall> {
         std::mem::take(&mut self.not_admitted)
     }
@@ -145,7 +149,7 @@
         self.actions.push(Action::Worker { call, addr, request });
     }
 
-    /// Takes out the call to the state service that an answer belongs to, unless it was answered before.
+    /// Takes the call to the state service that an answer belongs to. Returns `None` if it was answered before.
     pub fn take_state_call(&mut self, call: OutboundCallId, answer: &StateResult) -> Option<PendingStateCall> {
         let mut pending = self.state_calls.remove(&call)?;
         if let Err(CallError::Refused { over_limit: true }) = answer {
@@ -154,42 +158,44 @@
         Some(pending)
     }
 
-    /// Takes out the call to the cloud that an answer belongs to, unless it was answered before.
+    /// Takes the call to the cloud that an answer belongs to. Returns `None` if it was answered before.
     pub fn take_cloud_call(&mut self, call: OutboundCallId) -> Option<CloudOperation> {
         self.cloud_calls.remove(&call)
     }
 
-    /// Takes out the call to a worker that an answer belongs to, unless it was answered before.
+    /// Takes the call to a worker that an answer belongs to. Returns `None` if it was answered before.
     pub fn take_worker_call(&mut self, call: OutboundCallId) -> Option<PendingWorkerCall> {
         self.worker_calls.remove(&call)
     }
 
-    /// What the calls to the state service that are in flight are for.
+    /// Returns the purposes of the calls to the state service that are in flight.
     pub fn state_operations(&self) -> impl Iterator<Item = &StateOperation> {
         self.state_calls.values().map(|pending| &pending.operation)
     }
 
-    /// Sets this node's share of the state service's limits.
+    /// Sets this node's share of the state service's rate limits: its rate of requests, and its fraction of the limit
+    /// on writes.
     pub fn set_share(&mut self, requests_per_second: f64, share_of_changes: f64) {
         let changes_per_second = self.changes_per_second * share_of_changes;
         self.admission.set_rates(requests_per_second, changes_per_second);
     }
 
-    /// The state service refused a request because a limit was exceeded. Returns whether the stricter limit on
-    /// changes applies from now on.
+    /// Records that the state service refused a request because a rate limit was exceeded. Returns `true` if the limit
+    /// on writes is lowered to the stricter one as a result; the caller then sets this node's share again.
     pub fn limit_exceeded(&mut self, now: Time, stricter_changes_per_second: f64) -> bool {
         self.admission.limit_exceeded(now);
         let becomes_stricter = self.changes_per_second > stricter_changes_per_second;
         if becomes_stricter {
             log::info!(
-                "state service limit exceeded: at most {stricter_changes_per_second} changes per second from now on"
+                "state service refused a request over its rate limit; assuming a limit of {stricter_changes_per_second} \
+                 writes per second for all controllers from now on"
             );
             self.changes_per_second = stricter_changes_per_second;
         }
         becomes_stricter
     }
 
-    /// Logs once a minute what was written to the state service.
+    /// Logs once a minute the calls that were not admitted and the records that were written to the state service.
     pub fn log_usage(&mut self, now: Time) {
         if now.since(self.usage_logged_at) < USAGE_LOG_INTERVAL {
             return;
@@ -197,12 +203,12 @@
         self.usage_logged_at = now;
         self.log_admission(now);
         if !self.usage.is_empty() {
-            log::info!("records written to the state service in the last minute: {}", self.usage);
+            log::info!("writes to the state service in the last minute, by kind of record: {}", self.usage);
             self.usage.clear();
         }
     }
 
-    /// Logs what is left of this node's share of the limits, if calls had to wait.
+    /// Logs the number of calls that were not admitted and the fill levels of the buckets, if there were such calls.
     fn log_admission(&mut self, now: Time) {
         let deferred = self.admission.take_deferred();
         if deferred.is_empty() {
@@ -211,7 +217,8 @@
         let deferred: Vec<String> = deferred.iter().map(|(class, count)| format!("{class}: {count}")).collect();
         let (requests, writes) = self.admission.levels(now);
         log::info!(
-            "calls to the state service not admitted in the last minute: {}; left of this node's share: {requests:.0} requests, {writes:.0} changes",
+            "calls to the state service not admitted in the last minute, by traffic class: {}; tokens left in this node's \
+             buckets: {requests:.0} requests, {writes:.0} writes",
             deferred.join("; ")
         );
     }
--- a/src/coordination/pending_calls.rs
+++ b/src/coordination/pending_calls.rs
@@ -1,27 +1,27 @@
-//! What calls to the cloud and to workers that are in flight are for.
+//! Purposes of calls in flight to the cloud and to workers, by which their outcomes are handled.
 
 use super::leadership_term::LeadershipTerm;
 use crate::model::MachineId;
 use crate::protocol::cloud::ListedMachine;
 
-/// A call to the cloud that is in flight, by what to do with its answer.
+/// Purpose of a call to the cloud.
 pub(super) enum CloudOperation {
     /// Reads the catalog of machine types.
     Catalog,
-    /// Lists machines page by page; `so_far` are those of the earlier pages.
+    /// Reads the next page of the list of machines. `so_far` contains the machines of the earlier pages.
     List { so_far: Vec<ListedMachine> },
-    /// Rents machines for a shard under the given request name.
+    /// Rents machines for a shard. `request` is the name of the rental request.
     Rent { leadership: LeadershipTerm, request: String },
     /// Deletes machines of a shard.
     Delete { leadership: LeadershipTerm, machines: Vec<MachineId> },
-    /// Deletes machines that belong to no shard.
+    /// Deletes machines that belong to no known shard.
     DeleteUnknown,
 }
 
-/// A direct call to a worker that is in flight.
+/// Direct call to a worker that is in flight.
 pub(super) struct PendingWorkerCall {
-    /// The shard on whose behalf it was sent, and the leadership term in which it was sent.
+    /// Shard of the machine, and the leadership term in which the call was sent.
     pub leadership: LeadershipTerm,
-    /// The machine that was called.
+    /// Machine that was called.
     pub machine: MachineId,
 }
--- a/src/coordination/relay.rs
+++ b/src/coordination/relay.rs
@@ -1,7 +1,7 @@
-//! Relays heartbeats of workers that do not reach the leader of their shard, while this node does.
+//! Relays of worker heartbeats to the leader of their shard, for workers that cannot reach the leader themselves.
 //!
-//! A network partition may separate workers from the leader although the controllers still reach one another. Their
-//! heartbeats are then forwarded to the leader, and its answers back to them.
+//! A network partition may separate workers from the leader although the controllers still reach one another. This node
+//! then forwards the heartbeats of these workers to the leader, and the leader's answers to the workers.
 
 use super::controller::Controller;
 use super::events::Requester;
@@ -12,25 +12,28 @@
 use crate::time::{Span, Time};
 use std::collections::HashMap;
 
-/// How long the heartbeats of a worker are relayed before it is sent to the leader again, at first.
+/// Length of the first relay period of a worker. At the end of each period the worker is redirected to the leader
+/// again.
 const FIRST_RELAY_PERIOD: Span = Span::millis(10_000);
-/// The same at most.
+/// Upper bound of the length of a relay period.
 const MAX_RELAY_PERIOD: Span = Span::millis(80_000);
-/// By which factor each period is longer than the one before.
+/// Factor by which each relay period is longer than the previous one.
 const RELAY_PERIOD_FACTOR: f64 = 2.0;
-/// How many heartbeat intervals may pass before a worker that has come back sends its next heartbeat.
+/// Upper bound of the time until a worker sends its next heartbeat to the next controller that it tries, in heartbeat
+/// intervals.
 const MAX_HEARTBEAT_INTERVALS: f64 = 1.5;
-/// After how many round trips to the leader a worker that has not come back must have reached it.
+/// Number of round trips to the leader after which a worker that has not come back must have reached the leader.
 const ROUND_TRIPS_UNTIL_LEADER_REACHED: f64 = 2.0;
 
-/// A worker whose heartbeats are relayed to the leader of its shard.
+/// Worker whose heartbeats are relayed to the leader of its shard.
 struct Relay {
-    /// The leadership term during which they are relayed.
+    /// Leadership term of the shard in which the relay began. In another term the relay does not apply.
     term: Revision,
-    /// When the worker was last sent to the leader, or its heartbeats were first relayed.
+    /// Time at which the worker was last redirected to the leader, or at which the relay began.
     period_start: Time,
-    /// For how long after that its heartbeats are relayed before it is sent to the leader again.
+    /// Length of the present relay period.
     period: Span,
+    /// Arrival time of the worker's last heartbeat at this node.
     last_heartbeat: Time,
 }
 
@@ -43,37 +46,39 @@
         now.since(self.period_start) >= self.period
     }
 
-    /// Begins the next period, which is longer.
+    /// Begins the next period, which is longer, up to [`MAX_RELAY_PERIOD`].
     fn begin_next_period(&mut self, now: Time) {
         self.period_start = now;
         self.period = self.period.times(RELAY_PERIOD_FACTOR).min(MAX_RELAY_PERIOD);
     }
 }
 
-/// The workers whose heartbeats are relayed at present.
+/// Workers whose heartbeats this node relays.
 #[derive(Default)]
 pub(super) struct Relays {
     by_machine: HashMap<MachineId, Relay>,
 }
 
 impl Relays {
-    /// The relay of a machine in the given term, if there is one.
+    /// Returns the relay of a machine if it began in the given term.
     fn get_in_term(&mut self, machine: &MachineId, term: Revision) -> Option<&mut Relay> {
         self.by_machine.get_mut(machine).filter(|relay| relay.term == term)
     }
 }
 
 impl Controller {
-    /// Answers a heartbeat of a machine whose shard another node leads: sends the worker to the leader, or relays the
-    /// heartbeat there.
+    /// Answers a heartbeat of a machine whose shard another node leads: redirects the worker to the leader, or relays
+    /// the heartbeat to the leader.
     ///
-    /// A worker leaves a node only when that does not answer it. So a worker that shows a fencing token of the present
-    /// term has been with the leader and does not reach it any more. If it were sent there, it would lose its lease
-    /// going back and forth, so its heartbeats are relayed instead. Right after a failover it may have the token from a
-    /// direct call of the new leader instead, and is sent to the leader once.
+    /// A worker leaves a controller only when that controller does not answer. So a worker that shows a fencing token
+    /// of the present term was answered by the leader before, and does not reach the leader any more. If it were
+    /// redirected there, its worker lease would expire while it goes back and forth, so its heartbeats are relayed
+    /// instead. Right after a failover the worker may have got the token from a direct call of the new leader; it is
+    /// then redirected to the leader once.
     ///
-    /// That needs no leadership change, works for one machine as well as for all of them, and ends by itself: from time
-    /// to time the worker is sent to the leader again, after a longer period each time.
+    /// Relaying needs no leadership change, works for one machine as well as for all of them, and ends by itself: at
+    /// the end of each relay period the worker is redirected to the leader again, and each period is longer than the
+    /// last.
     pub(super) fn redirect_or_relay(&mut self, requester: Requester, shard: ShardId, heartbeat: Box<WorkerHeartbeat>) {
         if matches!(requester, Requester::Peer { .. }) {
             return self.reply(requester, Reply::busy(BusyReason::NotLeader));
@@ -86,7 +91,7 @@
             return self.reply(requester, redirect_to_leader);
         }
         if self.reachable_leader(shard).is_none() {
-            // Neither the worker nor this node reaches the leader. Another node may do so.
+            // Neither the worker nor this node reaches the leader. Another node may reach it.
             return self.reply(requester, workers::redirect(None));
         }
         if self.is_sent_to_leader(&heartbeat.machine, shard, term) {
@@ -95,11 +100,12 @@
         self.forward(requester, shard, ForwardedRequest::WorkerHeartbeat(heartbeat));
     }
 
-    /// Whether a worker that was with the leader is sent there again this time. If not, its heartbeat is relayed.
+    /// Returns `true` if a worker that was answered by the leader before is redirected there now, and `false` if its
+    /// heartbeat is relayed. Begins a relay if there is none.
     fn is_sent_to_leader(&mut self, machine: &MachineId, shard: ShardId, term: Revision) -> bool {
         let now = self.now;
         let worker_lease = self.settings.worker_lease;
-        // A worker that is sent to the leader in vain must be back before its lease expires.
+        // A worker that is redirected and still does not reach the leader must be back before its lease expires.
         let returns_in_time = self.round_trip_to_leader() < worker_lease;
         if let Some(relay) = self.relays.get_in_term(machine, term) {
             relay.last_heartbeat = now;
@@ -109,22 +115,23 @@
             }
             return is_sent;
         }
-        log::debug!("machine {machine} does not reach the leader of shard {shard}");
+        log::debug!("machine {machine}: worker does not reach the leader of shard {shard}; beginning a relay");
         self.relays.by_machine.insert(machine.clone(), Relay::new(term, now));
-        // The worker may have the token from a direct call of a leader that is new.
+        // While the term is new, the worker may have got its token from a direct call of the leader.
         let term_age =
             self.membership.leadership(shard).map_or(Span::ZERO, |leadership| now.since(leadership.term_seen_at));
         term_age < worker_lease
     }
 
-    /// How long a worker that is sent to the leader in vain takes to come back, at most.
+    /// Returns an upper bound of the time in which a worker that is redirected but does not reach the leader comes
+    /// back.
     fn round_trip_to_leader(&self) -> Span {
         ANSWER_TIMEOUT + NEXT_CONTROLLER_DELAY + self.settings.heartbeat_interval.times(MAX_HEARTBEAT_INTERVALS)
     }
 
-    /// Forgets the relays of workers that have not come back, since they reach the leader. If such a worker comes
-    /// again, that is a new partition. It must not be sent to the leader first, since it would lose its lease on the
-    /// way.
+    /// Removes the relays of workers that have not come back, because they reach the leader. If such a worker comes
+    /// back later, there is a new partition: its heartbeats must be relayed at once, because its worker lease might
+    /// expire if it were redirected to the leader first.
     pub(super) fn expire_relays(&mut self) {
         let now = self.now;
         let timeout = self.round_trip_to_leader().times(ROUND_TRIPS_UNTIL_LEADER_REACHED);
--- a/src/coordination/request_statistics.rs
+++ b/src/coordination/request_statistics.rs
@@ -1,4 +1,4 @@
-//! What this controller answered in the last minute and how long the state service took, for the log.
+//! Statistics for the log: counts of replies, latency of the state service, and the longest interval between ticks.
 
 use super::controller::Controller;
 use crate::protocol::{BusyReason, Reply};
@@ -7,31 +7,32 @@
 use std::collections::BTreeMap;
 use std::fmt::Display;
 
-/// How often the statistics are logged.
+/// Interval at which the statistics are logged.
 const LOG_INTERVAL: Span = Span::millis(60_000);
-/// The longest latency that is told apart; longer ones count as this one.
+/// Longest latency that the histogram distinguishes. Longer ones count as this one.
 const MAX_LATENCY_MS: u64 = 10_000;
-/// How many significant digits of a latency are kept.
+/// Number of significant decimal digits of the recorded latencies.
 const LATENCY_DIGITS: u8 = 2;
 
-/// Counts since the statistics were last logged.
+/// Statistics since they were last logged.
 pub(super) struct RequestStatistics {
-    /// Replies to users and workers by status.
+    /// Number of replies to users and workers by HTTP status.
     replies: BTreeMap<u16, u64>,
-    /// Replies that ask to retry, by reason.
+    /// Number of replies that ask the client to retry, by reason.
     busy: BTreeMap<BusyReason, u64>,
-    /// From when a call to the state service was sent to when it was answered or given up, in milliseconds.
+    /// Times from sending a call to the state service to its answer or failure, in milliseconds.
     state_latencies: Histogram<u32>,
-    /// The longest time between two ticks.
+    /// Longest interval between two ticks.
     longest_pause: Span,
+    /// Time at which the statistics were last logged.
     logged_at: Time,
 }
 
 impl RequestStatistics {
-    /// Nothing was counted yet.
+    /// Creates empty statistics.
     pub fn new(now: Time) -> RequestStatistics {
-        // The bounds are constants that the histogram accepts.
-        let state_latencies = Histogram::new_with_max(MAX_LATENCY_MS, LATENCY_DIGITS).expect("the bounds are valid");
+        let state_latencies =
+            Histogram::new_with_max(MAX_LATENCY_MS, LATENCY_DIGITS).expect("constant bounds are valid");
         RequestStatistics {
             replies: BTreeMap::new(),
             busy: BTreeMap::new(),
@@ -49,25 +50,25 @@
         }
     }
 
-    /// Records how long a call to the state service took.
+    /// Records the latency of a call to the state service.
     pub fn state_answered(&mut self, latency: Span) {
         self.state_latencies.saturating_record(latency.as_millis());
     }
 
-    /// Records the time between two ticks.
+    /// Records the interval between two ticks.
     pub fn paused(&mut self, pause: Span) {
         self.longest_pause = self.longest_pause.max(pause);
     }
 
-    /// Logs the statistics once a minute and starts over.
+    /// Logs the statistics and resets them if [`LOG_INTERVAL`] has passed. Logs nothing if there were no replies.
     fn log_if_due(&mut self, now: Time) {
         if now.since(self.logged_at) < LOG_INTERVAL {
             return;
         }
         if !self.replies.is_empty() {
             log::info!(
-                "replies in the last minute: {}; to be retried: {}; state service: median {} ms, 99% {} ms, longest {} ms of {} calls; \
-                 longest pause {} ms",
+                "replies in the last minute, by status: {}; replies to be retried, by reason: {}; latency of the state \
+                 service: median {} ms, p99 {} ms, maximum {} ms of {} calls; longest interval between ticks: {} ms",
                 list(&self.replies),
                 list(&self.busy),
                 self.state_latencies.value_at_quantile(0.5),
@@ -90,7 +91,7 @@
 }
 
 impl Controller {
-    /// Logs once a minute what was answered.
+    /// Records the interval since the last tick, and logs the statistics once a minute.
     pub(super) fn statistics_tick(&mut self, time_since_last_tick: Span) {
         self.statistics.paused(time_since_last_tick);
         self.statistics.log_if_due(self.now);
--- a/src/coordination/state_admission.rs
+++ b/src/coordination/state_admission.rs
@@ -1,28 +1,29 @@
-//! Admission to the state service: which calls may be sent now, by class of traffic.
+//! Admission control for calls to the state service, by traffic class.
 //!
-//! All calls share this node's part of the service's limits. Each bounded class has a level to which the shared buckets
-//! must be filled before its calls are sent, so that urgent classes go first, and a floor: a part of the rate that it
-//! gets however much the other classes ask for. Leases, leadership and recovery are not bounded here, because each of
-//! them has one call in flight at a time.
+//! All calls take tokens from two shared token buckets, one for requests and one for writes, which hold this node's
+//! share of the service's rate limits. For each bounded class there is a minimum fill level of the buckets at which its
+//! calls are admitted, so that urgent classes take precedence, and a guaranteed fraction of the rate, which the class
+//! gets whatever the demand of the other classes. Leases, leadership and recovery are not bounded here, because each of
+//! them has only one call in flight at a time.
 
 use crate::storage::rate_limiter::RateLimiter;
 use crate::time::Time;
 use std::fmt;
 
 const MILLIS_PER_SECOND: u64 = 1000;
-/// The longest time after which a client should retry, in seconds. Clients give up after a minute.
+/// Upper bound of the time after which a client is told to retry, in seconds. Clients give up after a minute.
 const MAX_RETRY_AFTER_S: u32 = 5;
 
-/// The purpose of a call, as far as it matters for admission.
+/// Purpose of a call, by which its admission is decided.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum TrafficClass {
     /// Node leases, leadership terms and liveness records.
     Leadership,
-    /// Reads the records of a shard after leadership was acquired.
+    /// Reads of a shard's records after its leadership was acquired.
     Recovery,
     /// Records of jobs that wait for prerequisites.
     WaitingRecord,
-    /// Transfers of machines between shards.
+    /// Transfers of machines between shards: their records are read and changed.
     MachineTransfer,
     /// Final records of jobs, and reads that settle the outcome of a write.
     FinalRecord,
@@ -32,31 +33,34 @@
     Adoption,
     /// Records of machines.
     MachineRecord,
-    /// Progress of live jobs.
+    /// Progress in the records of live jobs.
     Progress,
     /// Reads of single records for which a user or a worker waits.
     RecordRead,
     /// Removal of records that are not needed any more.
     StaleRecord,
-    /// Reads that can wait until little else is asked.
+    /// Reads that can wait until there is little other traffic.
     BackgroundRead,
-    /// Writes that can wait until hardly anything else is written.
+    /// Writes that can wait until there is hardly any other traffic.
     BackgroundWrite,
 }
 
-/// How many classes there are.
+/// Number of traffic classes.
 const CLASSES: usize = TrafficClass::BackgroundWrite as usize + 1;
 
-/// When calls of a class are sent.
+/// Conditions under which calls of a class are admitted.
 struct ClassPolicy {
-    /// To which part of a burst the bucket of requests must be filled; negative in debt. None if it does not matter.
+    /// Minimum fill level of the request bucket, as a fraction of its burst; negative if the bucket may be in debt.
+    /// `None` if the level does not matter.
     request_level: Option<f64>,
-    /// The same for the bucket of changes.
+    /// Minimum fill level of the write bucket, as a fraction of its burst; negative if the bucket may be in debt.
+    /// `None` if the level does not matter.
     write_level: Option<f64>,
-    /// The part of the rate that the class gets even when the buckets are not filled to these levels. Those of all
-    /// classes together are less than the whole.
+    /// Fraction of the rate that the class gets even when the buckets are below these levels. The fractions of all
+    /// classes add up to less than 1.
     floor: f64,
-    /// How many changes a call takes from the bucket beyond its own, so that more urgent ones find room.
+    /// Tokens that a call takes from the write bucket in addition to those for its own writes, so that tokens are left
+    /// for more urgent calls.
     surcharge: f64,
 }
 
@@ -75,7 +79,7 @@
 }
 
 impl TrafficClass {
-    /// When calls of this class are sent. None if at any time.
+    /// Returns the conditions under which calls of this class are admitted, or `None` if the class is not bounded.
     fn policy(self) -> Option<ClassPolicy> {
         match self {
             TrafficClass::Leadership
@@ -115,28 +119,33 @@
     }
 }
 
-/// A call of a bounded class that was not admitted before it was to be sent.
+/// Error for a call of a bounded class that was to be sent without having been admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("a call of the class {0} was not admitted to the state service")]
+#[error("call of traffic class \"{0}\" to the state service was not admitted")]
 pub(super) struct NotAdmitted(pub TrafficClass);
 
-/// What one class has left, and what became of its calls.
+/// State of one traffic class.
 struct ClassState {
+    /// Bucket of the guaranteed rate.
     floor: RateLimiter,
-    /// How many calls were admitted at `admitted_at` and not sent yet.
+    /// Number of calls that were admitted at `admitted_at` and are not sent yet.
     admitted: u32,
+    /// Time of the event in which `admitted` calls were admitted. Their admission ends with that event.
     admitted_at: Time,
-    /// How many calls were not admitted since the last log line.
+    /// Number of calls that were not admitted since `take_deferred` was last called.
     deferred: u64,
-    /// How many calls were not admitted in the present second, and in the one before.
+    /// Numbers of calls that were not admitted in the present second and in the previous one.
     recent: RecentCount,
 }
 
-/// Counts events by second.
+/// Counter of events in the present second and in the previous one.
 #[derive(Default)]
 struct RecentCount {
+    /// Present second since [`Time::ZERO`].
     second: u64,
+    /// Number of events in the present second.
     count: u64,
+    /// Number of events in the previous second.
     previous_count: u64,
 }
 
@@ -146,7 +155,7 @@
         self.count += 1;
     }
 
-    /// How many events there were in the second before the present one.
+    /// Returns the number of events in the previous second.
     fn in_last_second(&mut self, now: Time) -> u64 {
         self.move_to(now);
         self.previous_count
@@ -162,7 +171,7 @@
     }
 }
 
-/// This node's share of the state service's limits, divided among classes of traffic.
+/// This node's share of the state service's rate limits, divided among the traffic classes.
 pub(super) struct StateAdmission {
     requests: RateLimiter,
     writes: RateLimiter,
@@ -170,7 +179,8 @@
 }
 
 impl StateAdmission {
-    /// Returns full buckets with these rates per second.
+    /// Creates full buckets with the given rates per second. No rate is guaranteed to any class before
+    /// [`StateAdmission::set_rates`] is called.
     pub fn new(requests_per_second: f64, writes_per_second: f64) -> StateAdmission {
         let class = |_| ClassState {
             floor: RateLimiter::new(0.0, 1.0),
@@ -186,7 +196,7 @@
         }
     }
 
-    /// Sets this node's share of the limits.
+    /// Sets this node's share of the rate limits, and the guaranteed rates that follow from it.
     pub fn set_rates(&mut self, requests_per_second: f64, writes_per_second: f64) {
         self.requests.set_rate(requests_per_second, requests_per_second);
         self.writes.set_rate(writes_per_second, writes_per_second);
@@ -198,7 +208,8 @@
         }
     }
 
-    /// Whether a call of this class may be sent now. If so it has to be sent before the next event is handled.
+    /// Returns `true` if a call of this class may be sent now. The caller must then send it before the next event is
+    /// handled.
     pub fn admits(&mut self, now: Time, class: TrafficClass) -> bool {
         let Some(policy) = class.policy() else { return true };
         let is_admitted = self.is_filled(now, &policy) || self.takes_floor(now, class, &policy);
@@ -212,25 +223,28 @@
         is_admitted
     }
 
-    /// Whether a call that can wait would be admitted.
+    /// Returns `true` if a background write would be admitted.
     pub fn is_quiet(&mut self, now: Time) -> bool {
         TrafficClass::BackgroundWrite.policy().is_some_and(|policy| self.is_filled(now, &policy))
     }
 
-    /// Returns after how many seconds a client whose call was not admitted should retry: so many that all who were
-    /// turned away lately do not come back faster than their calls can be sent.
+    /// Returns the seconds after which a client whose call was not admitted should retry. Grows with the number of
+    /// calls that were not admitted in the previous second, so that clients do not come back faster than their calls
+    /// can be sent.
     pub fn retry_after(&mut self, now: Time, class: TrafficClass) -> u32 {
         let turned_away = self.classes[class as usize].recent.in_last_second(now);
         let seconds = (turned_away as f64 / self.writes.rate().max(1.0)).ceil() as u32;
         seconds.clamp(1, MAX_RETRY_AFTER_S)
     }
 
-    /// Admits the next call of an operation whose first call was admitted: refusing it would waste that one.
+    /// Admits the next call of an operation whose first call was admitted, whatever the rate limits say: refusing it
+    /// would waste the first call.
     pub fn admit_next_step(&mut self, now: Time, class: TrafficClass) {
         self.classes[class as usize].admit(now);
     }
 
-    /// Counts a call that is being sent, unless it should have been admitted before and was not.
+    /// Takes the tokens for a call that is being sent. Returns an error and takes none if the call is of a bounded
+    /// class and was not admitted.
     pub fn send(&mut self, now: Time, class: TrafficClass, writes: usize) -> Result<(), NotAdmitted> {
         if class.policy().is_some() && !self.classes[class as usize].take_admission(now) {
             return Err(NotAdmitted(class));
@@ -240,13 +254,14 @@
         Ok(())
     }
 
-    /// The service has refused a call because a limit was exceeded.
+    /// Empties the buckets, because the service has refused a call over its rate limit.
     pub fn limit_exceeded(&mut self, now: Time) {
         self.requests.drain(now);
         self.writes.drain(now);
     }
 
-    /// Returns how many calls of each class were not admitted since the last time, without those that never were.
+    /// Returns the number of calls of each class that were not admitted since the previous call, without classes for
+    /// which it is zero.
     pub fn take_deferred(&mut self) -> Vec<(TrafficClass, u64)> {
         let mut deferred = Vec::new();
         for class in BOUNDED_CLASSES {
@@ -258,11 +273,12 @@
         deferred
     }
 
-    /// How many requests and changes are left of this node's share; negative in debt.
+    /// Returns the tokens in the request bucket and in the write bucket; negative in debt.
     pub fn levels(&mut self, now: Time) -> (f64, f64) {
         (self.requests.level(now), self.writes.level(now))
     }
 
+    /// Returns `true` if the buckets are filled to the levels of the policy, and if so takes the policy's surcharge.
     fn is_filled(&mut self, now: Time, policy: &ClassPolicy) -> bool {
         let is_filled = |bucket: &mut RateLimiter, level: Option<f64>, more: f64| {
             level.is_none_or(|level| bucket.is_filled_beyond(now, level, more))
@@ -275,6 +291,7 @@
         is_filled
     }
 
+    /// Takes a token of the guaranteed rate of a class. Returns `false` if there is none.
     fn takes_floor(&mut self, now: Time, class: TrafficClass, policy: &ClassPolicy) -> bool {
         policy.floor > 0.0 && self.classes[class as usize].floor.take(now, 1.0)
     }
@@ -289,7 +306,7 @@
         self.admitted += 1;
     }
 
-    /// Uses up an admission of this moment. Returns whether there was one.
+    /// Uses up an admission that was given in the present event. Returns `false` if there is none.
     fn take_admission(&mut self, now: Time) -> bool {
         let is_admitted = self.admitted_at == now && self.admitted > 0;
         if is_admitted {
@@ -299,7 +316,7 @@
     }
 }
 
-/// The classes that have a policy.
+/// Classes that have a policy.
 const BOUNDED_CLASSES: [TrafficClass; 9] = [
     TrafficClass::FinalRecord,
     TrafficClass::Acceptance,
--- a/src/coordination/state_admission/tests.rs
+++ b/src/coordination/state_admission/tests.rs
@@ -11,12 +11,13 @@
     admission
 }
 
-/// How many changes a call of a class makes.
+/// Returns the number of writes in a call of a class.
 fn changes_of(class: TrafficClass) -> usize {
     usize::from(class.policy().is_some_and(|policy| policy.write_level.is_some()))
 }
 
-/// Asks for calls of each of the given classes every 10 ms. Returns how many of each were sent in a second on average.
+/// Sends as many calls of the given classes as are admitted, every 10 ms. Returns the average number of calls per
+/// second for each class.
 fn sent_per_second(classes: &[TrafficClass]) -> Vec<f64> {
     let mut admission = admission();
     let mut sent = vec![0; classes.len()];
@@ -36,11 +37,11 @@
 fn each_class_gets_its_floor_while_every_other_one_asks_for_all() {
     let classes = BOUNDED_CLASSES;
     for ((class, sent), floor_limit) in classes.iter().zip(sent_per_second(&classes)).zip(classes.map(floor_limit)) {
-        assert!(sent >= 0.9 * floor_limit, "{class}: {sent} calls a second, its floor is {floor_limit}");
+        assert!(sent >= 0.9 * floor_limit, "{class}: {sent} calls per second, but {floor_limit} are guaranteed");
     }
 }
 
-/// The calls a second that the floor of a class stands for.
+/// Returns the calls per second that are guaranteed to a class.
 fn floor_limit(class: TrafficClass) -> f64 {
     let policy = class.policy().expect("the class is bounded");
     let limit = if policy.write_level.is_some() { WRITES_PER_SECOND } else { REQUESTS_PER_SECOND };
@@ -56,14 +57,14 @@
     let sent: f64 = sent_per_second(&writers).iter().sum();
     // The buckets are full at the start and may end in debt.
     let allowance = 3.0 * WRITES_PER_SECOND / SECONDS as f64;
-    assert!(sent <= WRITES_PER_SECOND + allowance, "{sent} changes a second");
+    assert!(sent <= WRITES_PER_SECOND + allowance, "{sent} writes per second");
 }
 
 #[test]
 fn submissions_alone_leave_room_for_reads() {
     let sent = sent_per_second(&[TrafficClass::Acceptance, TrafficClass::RecordRead]);
-    assert!(sent[0] >= 0.9 * WRITES_PER_SECOND, "{} acceptances a second", sent[0]);
-    assert!(sent[1] >= 0.2 * REQUESTS_PER_SECOND, "{} reads a second", sent[1]);
+    assert!(sent[0] >= 0.9 * WRITES_PER_SECOND, "{} acceptances per second", sent[0]);
+    assert!(sent[1] >= 0.2 * REQUESTS_PER_SECOND, "{} reads per second", sent[1]);
 }
 
 #[test]
@@ -74,7 +75,7 @@
     }
     assert_eq!(admission.send(now, TrafficClass::Leadership, 0), Ok(()));
     assert!(admission.admits(now, TrafficClass::Acceptance));
-    // An admission counts for one call, and only in the event for which it was given.
+    // An admission is valid for one call, and only while the event is handled in which it was given.
     let later = now + Span::millis(1);
     assert_eq!(admission.send(later, TrafficClass::Acceptance, 1), Err(NotAdmitted(TrafficClass::Acceptance)));
 }
--- a/src/coordination/state_operation.rs
+++ b/src/coordination/state_operation.rs
@@ -1,4 +1,4 @@
-//! The purpose of a call to the state service, by which the answer reaches the component that sent the call.
+//! Purposes of calls to the state service, by which answers are dispatched to the components that sent the calls.
 
 use super::dependencies::{DependencyOperation, WaitingRecordOperation};
 use super::forecasts::ForecastOperation;
@@ -12,28 +12,28 @@
 use super::worker_heartbeats::MachineOperation;
 use crate::model::{MachineId, ShardId};
 
-/// The purpose of a call to the state service, by the component that handles the answer.
+/// Purpose of a call to the state service, with one variant for each component that handles answers.
 pub(super) enum StateOperation {
-    /// Leases and leadership terms.
+    /// Node lease, leadership terms and liveness records.
     Leadership(LeadershipOperation),
-    /// Reads the records of a shard after leadership was acquired.
+    /// Reads of a shard's records after its leadership was acquired.
     Recovery(RecoveryOperation),
-    /// Lists or watches records for the replica.
+    /// Lists and watches of records for the replica.
     Replica(ReplicatedRecords),
-    /// Reads and writes for requests of users.
+    /// Reads and writes on behalf of users.
     User(UserOperation),
-    /// The record of a job that is queued or running.
+    /// Reads and writes of the records of queued and running jobs.
     Job(JobOperation),
-    /// Jobs that wait for prerequisites.
+    /// Reads and writes of the records of jobs that wait for prerequisites.
     Dependency(DependencyOperation),
-    /// Records of machines.
+    /// Reads and writes of the records of machines.
     Machine(MachineOperation),
-    /// Snapshots of learned run times.
+    /// Reads and writes of the snapshots of learned run times.
     Forecast(ForecastOperation),
 }
 
 impl StateOperation {
-    /// The class of traffic by which the call is admitted.
+    /// Returns the traffic class under which the call is admitted.
     pub fn traffic_class(&self) -> TrafficClass {
         match self {
             StateOperation::Leadership(_) => TrafficClass::Leadership,
@@ -47,8 +47,8 @@
         }
     }
 
-    /// The leadership term that was a condition of the transaction, if there was one: a commit then shows that the
-    /// term still stood.
+    /// Returns the leadership term that was a condition of the transaction, or `None` if there was no such condition. A
+    /// commit shows that this term was still in force.
     pub fn leadership_condition(&self) -> Option<LeadershipTerm> {
         match self {
             StateOperation::Leadership(operation) => operation.leadership_condition(),
@@ -61,7 +61,7 @@
         }
     }
 
-    /// The shard whose leadership this acquires or releases, if it does either.
+    /// Returns the shard whose leadership the call acquires or releases, or `None` if it does neither.
     pub fn shard_changing_leadership(&self) -> Option<ShardId> {
         match self {
             StateOperation::Leadership(operation) => operation.shard_changing_leadership(),
@@ -69,17 +69,18 @@
         }
     }
 
-    /// Whether this writes the record of the given machine.
+    /// Returns `true` if the call writes the first record of the given machine.
     pub fn registers(&self, machine: &MachineId) -> bool {
         matches!(self, StateOperation::Machine(operation) if operation.registers(machine))
     }
 
-    /// Whether this reads the record of a job that is not in memory.
+    /// Returns `true` if the call looks up the record of a job that is not in memory.
     pub fn is_job_lookup(&self) -> bool {
         matches!(self, StateOperation::User(UserOperation::LookUp(_)))
     }
 
-    /// The leadership term under which a record is read, if what the record says counts only while that term stands.
+    /// Returns the leadership term under which a record is read, or `None` if the answer is valid in any term. An
+    /// answer with a term is valid only while that term is in force.
     pub fn read_term(&self) -> Option<LeadershipTerm> {
         match self {
             StateOperation::User(UserOperation::ReadHandoff { leadership, .. })
--- a/src/coordination/worker_heartbeats/registration.rs
+++ b/src/coordination/worker_heartbeats/registration.rs
@@ -158,9 +158,9 @@
         ShardId((number % u64::from(self.settings.team_shards())) as u32)
     }
 
-    /// Returns `true` if a machine without a record was returned to the cloud. Its last heartbeats may arrive late and
+    /// Returns `true` if a machine without a record was deleted. Its last heartbeats may arrive late and
     /// must not register it again. A machine whose fencing token shows that it was answered before had a record. If
-    /// that record is gone, the machine was returned: it counts as removed once the cloud's list no longer contains it.
+    /// that record is gone, the machine was deleted: it counts as removed once the cloud's list no longer contains it.
     fn is_removed(&self, heartbeat: &WorkerHeartbeat) -> bool {
         let machine = &heartbeat.machine;
         let record_is_being_removed =
@@ -176,7 +176,7 @@
     fn register_machine(&mut self, requester: Requester, shard_id: ShardId, heartbeat: Box<WorkerHeartbeat>) {
         let is_being_registered = self.is_being_registered(&heartbeat.machine);
         let leadership = match self.shards.get(&shard_id) {
-            // A heartbeat that was delayed or delivered twice, of a machine that was returned.
+            // A heartbeat that was delayed or delivered twice, of a machine that was deleted.
             Some(_) if self.is_removed(&heartbeat) => {
                 return self.reply(requester, Reply::busy(BusyReason::MachineGone));
             }
