--- a/src/coordination/controller.rs
+++ b/src/coordination/controller.rs
@@ -36,11 +36,11 @@
 
 /// Fraction of the state service's limit on requests that is divided evenly among all controllers, because all of them
 /// renew leases and read records for users. The rest goes to the leaders of the shards that take the teams' jobs.
-const EVEN_SHARE_OF_REQUESTS: f64 = 0.6;
+const EVEN_FRACTION_OF_REQUESTS: f64 = 0.6;
 /// Fraction of the limits on writes to the state service and on calls to the cloud that is divided evenly among all
-/// controllers. It is smaller than [`EVEN_SHARE_OF_REQUESTS`], because only controllers that lead shards with jobs
+/// controllers. It is smaller than [`EVEN_FRACTION_OF_REQUESTS`], because only controllers that lead shards with jobs
 /// write much.
-const EVEN_SHARE_OF_CHANGES: f64 = 0.25;
+const EVEN_FRACTION_OF_WRITES: f64 = 0.25;
 
 /// State machine of one controller process.
 ///
@@ -128,7 +128,7 @@
             forecasts: Forecasts::new(&settings),
             settings,
         };
-        controller.share_limits();
+        controller.update_rate_limit_shares();
         controller
     }
 
@@ -182,18 +182,18 @@
     }
 
     /// Recomputes this node's share of the rate limits of the state service and the cloud.
-    pub(super) fn share_limits(&mut self) {
-        let requests_per_second = self.settings.state_rps * self.share_of_limit(EVEN_SHARE_OF_REQUESTS);
-        let share_of_changes = self.share_of_limit(EVEN_SHARE_OF_CHANGES);
-        self.calls.set_share(requests_per_second, share_of_changes);
-        self.cloud.set_share(self.settings.cloud_rps * share_of_changes);
+    pub(super) fn update_rate_limit_shares(&mut self) {
+        let requests_per_second = self.settings.state_rps * self.fraction_of_limit(EVEN_FRACTION_OF_REQUESTS);
+        let fraction_of_writes = self.fraction_of_limit(EVEN_FRACTION_OF_WRITES);
+        self.calls.set_rate_limit_share(requests_per_second, fraction_of_writes);
+        self.cloud.set_share(self.settings.cloud_rps * fraction_of_writes);
     }
 
     /// Returns this node's fraction of a rate limit. `even_fraction` of the limit is divided evenly among all
     /// controllers, and the rest evenly among the shards that take the teams' jobs, for their leaders. While the leader
     /// of a shard cannot be reached, the fraction of that shard is divided evenly among all controllers too, because
     /// every controller then accepts the shard's jobs.
-    fn share_of_limit(&self, even_fraction: f64) -> f64 {
+    fn fraction_of_limit(&self, even_fraction: f64) -> f64 {
         let nodes = self.settings.nodes.len() as f64;
         let team_shards = self.settings.team_shards();
         let fraction_of_shard = |shard: ShardId| {
@@ -233,7 +233,7 @@
                 if reply.retry_after.is_some() {
                     log::debug!("request {}: refused with Retry-After: {}", id.0, reply.body);
                 }
-                self.statistics.replied(&reply);
+                self.statistics.record_reply(&reply);
                 self.calls.push(Action::Reply { id, reply });
             }
             Requester::Peer { node, number } => self.send_to_peer(node, PeerMessage::Answer { number, reply }),
@@ -320,14 +320,14 @@
     /// is confirmed.
     fn state_answered(&mut self, pending: PendingStateCall, answer: StateResult) {
         let limit_exceeded = matches!(answer, Err(CallError::Refused { over_limit: true }));
-        if limit_exceeded && self.calls.limit_exceeded(self.now, self.settings.state_writes) {
-            self.share_limits();
+        if limit_exceeded && self.calls.record_limit_exceeded(self.now, self.settings.state_writes) {
+            self.update_rate_limit_shares();
         }
         if answer.is_ok() || limit_exceeded {
             self.leadership.state_answered(self.now);
         }
         let PendingStateCall { sent, operation, .. } = pending;
-        self.statistics.state_answered(self.now.since(sent));
+        self.statistics.record_state_latency(self.now.since(sent));
         self.confirm_by_commit(sent, &operation, &answer);
         if let Some((operation, answer)) = self.defer_unconfirmed(sent, operation, answer) {
             self.complete_state_call(sent, operation, answer);
@@ -406,7 +406,7 @@
     /// Runs the periodic work of each component. Leases and leadership are maintained first, because the decisions that
     /// follow depend on them.
     fn tick(&mut self) {
-        self.share_limits();
+        self.update_rate_limit_shares();
         self.refuse_calls_not_admitted();
         let time_since_last_tick = self.recoveries.time_since_last_tick(self.now);
         self.statistics_tick(time_since_last_tick);
--- a/src/coordination/forwarding.rs
+++ b/src/coordination/forwarding.rs
@@ -19,11 +19,11 @@
 #[derive(Default)]
 pub(super) struct ForwardedRequests {
     /// Requests by the number under which they were sent to the leader.
-    waiting: BTreeMap<u64, Forwarded>,
+    pending: BTreeMap<u64, PendingForward>,
 }
 
 /// Request that was forwarded to the leader of its shard.
-struct Forwarded {
+struct PendingForward {
     client_request: ClientRequestId,
     /// Time at which the request times out.
     deadline: Time,
@@ -75,7 +75,7 @@
         let number = self.calls.next_call_id().0;
         let kind = ForwardedKind::of(&request);
         let deadline = self.now + kind.timeout();
-        self.forwarded.waiting.insert(number, Forwarded { client_request, deadline, kind });
+        self.forwarded.pending.insert(number, PendingForward { client_request, deadline, kind });
         self.send_to_peer(leader, PeerMessage::ClientRequest { number, shard, client_request: request });
     }
 
@@ -100,7 +100,7 @@
     /// Passes the leader's reply to a forwarded request to the client. If the leader is not able to answer a submission
     /// or a poll (status 503), this node answers it from the records instead.
     pub(super) fn forwarded_request_answered(&mut self, number: u64, reply: Reply) {
-        let Some(forwarded) = self.forwarded.waiting.remove(&number) else { return };
+        let Some(forwarded) = self.forwarded.pending.remove(&number) else { return };
         let requester = Requester::Local(forwarded.client_request);
         match forwarded.kind {
             ForwardedKind::Submission(spec) if reply.status == 503 => self.submit_remotely(requester, *spec),
@@ -117,9 +117,9 @@
     /// refusal or a redirect.
     pub(super) fn expire_forwarded_requests(&mut self) {
         let now = self.now;
-        let expired = self.forwarded.waiting.extract_if(.., |_, forwarded| forwarded.deadline <= now);
-        let expired: Vec<Forwarded> = expired.map(|(_, forwarded)| forwarded).collect();
-        for Forwarded { client_request, kind, .. } in expired {
+        let expired = self.forwarded.pending.extract_if(.., |_, forwarded| forwarded.deadline <= now);
+        let expired: Vec<PendingForward> = expired.map(|(_, forwarded)| forwarded).collect();
+        for PendingForward { client_request, kind, .. } in expired {
             let requester = Requester::Local(client_request);
             match kind {
                 ForwardedKind::Submission(spec) => self.submit_remotely(requester, *spec),
--- a/src/coordination/outbound_calls.rs
+++ b/src/coordination/outbound_calls.rs
@@ -16,7 +16,7 @@
 use std::net::SocketAddrV4;
 
 /// Interval at which the writes to the state service are logged.
-const USAGE_LOG_INTERVAL: Span = Span::millis(60_000);
+const WRITE_USAGE_LOG_INTERVAL: Span = Span::millis(60_000);
 
 /// Call to the state service that is in flight.
 pub(super) struct PendingStateCall {
@@ -33,7 +33,7 @@
     /// Actions of the event that is being handled.
     actions: Vec<Action>,
     /// Number of the last call id that was assigned.
-    last_call: u64,
+    last_call_number: u64,
     state_calls: HashMap<OutboundCallId, PendingStateCall>,
     cloud_calls: HashMap<OutboundCallId, CloudOperation>,
     worker_calls: HashMap<OutboundCallId, PendingWorkerCall>,
@@ -45,11 +45,11 @@
     not_admitted: Vec<PendingStateCall>,
     /// Writes per second that the state service accepts from all controllers: the present limit until the service
     /// refuses a request, then the stricter limit that was announced.
-    changes_per_second: f64,
+    writes_per_second: f64,
     /// Records written since the last log line about them.
-    usage: WriteUsage,
+    write_usage: WriteUsage,
     /// Time of the last log line about writes.
-    usage_logged_at: Time,
+    write_usage_logged_at: Time,
 }
 
 impl OutboundCalls {
@@ -57,16 +57,16 @@
     pub fn new(settings: &Settings, now: Time) -> OutboundCalls {
         OutboundCalls {
             actions: Vec::new(),
-            last_call: 1,
+            last_call_number: 1,
             state_calls: HashMap::new(),
             cloud_calls: HashMap::new(),
             worker_calls: HashMap::new(),
             admission: StateAdmission::new(settings.state_rps, settings.state_writes),
             invariant_violations: 0,
             not_admitted: Vec::new(),
-            changes_per_second: settings.state_writes_now,
-            usage: WriteUsage::default(),
-            usage_logged_at: now,
+            writes_per_second: settings.state_writes_now,
+            write_usage: WriteUsage::default(),
+            write_usage_logged_at: now,
         }
     }
 
@@ -82,8 +82,8 @@
 
     /// Returns a call id that this process has not used before.
     pub fn next_call_id(&mut self) -> OutboundCallId {
-        self.last_call += 1;
-        OutboundCallId(self.last_call)
+        self.last_call_number += 1;
+        OutboundCallId(self.last_call_number)
     }
 
     /// Returns `true` if a call of this class may be sent to the state service now. The caller must then send it before
@@ -118,7 +118,7 @@
         }
         let call = self.next_call_id();
         let record_kinds = match &request {
-            StateCall::Commit { changes, .. } => self.usage.sent(changes),
+            StateCall::Commit { changes, .. } => self.write_usage.sent(changes),
             _ => Vec::new(),
         };
         self.state_calls.insert(call, PendingStateCall { sent: now, operation, record_kinds });
@@ -153,7 +153,7 @@
     pub fn take_state_call(&mut self, call: OutboundCallId, answer: &StateResult) -> Option<PendingStateCall> {
         let mut pending = self.state_calls.remove(&call)?;
         if let Err(CallError::Refused { over_limit: true }) = answer {
-            self.usage.refused(std::mem::take(&mut pending.record_kinds));
+            self.write_usage.refused(std::mem::take(&mut pending.record_kinds));
         }
         Some(pending)
     }
@@ -175,51 +175,51 @@
 
     /// Sets this node's share of the state service's rate limits: its rate of requests, and its fraction of the limit
     /// on writes.
-    pub fn set_share(&mut self, requests_per_second: f64, share_of_changes: f64) {
-        let changes_per_second = self.changes_per_second * share_of_changes;
-        self.admission.set_rates(requests_per_second, changes_per_second);
+    pub fn set_rate_limit_share(&mut self, requests_per_second: f64, fraction_of_writes: f64) {
+        let writes_per_second = self.writes_per_second * fraction_of_writes;
+        self.admission.set_rates(requests_per_second, writes_per_second);
     }
 
     /// Records that the state service refused a request because a rate limit was exceeded. Returns `true` if the limit
     /// on writes is lowered to the stricter one as a result; the caller then sets this node's share again.
-    pub fn limit_exceeded(&mut self, now: Time, stricter_changes_per_second: f64) -> bool {
-        self.admission.limit_exceeded(now);
-        let becomes_stricter = self.changes_per_second > stricter_changes_per_second;
+    pub fn record_limit_exceeded(&mut self, now: Time, stricter_writes_per_second: f64) -> bool {
+        self.admission.record_limit_exceeded(now);
+        let becomes_stricter = self.writes_per_second > stricter_writes_per_second;
         if becomes_stricter {
             log::info!(
-                "state service refused a request over its rate limit; assuming a limit of {stricter_changes_per_second} \
+                "state service refused a request over its rate limit; assuming a limit of {stricter_writes_per_second} \
                  writes per second for all controllers from now on"
             );
-            self.changes_per_second = stricter_changes_per_second;
+            self.writes_per_second = stricter_writes_per_second;
         }
         becomes_stricter
     }
 
     /// Logs once a minute the calls that were not admitted and the records that were written to the state service.
     pub fn log_usage(&mut self, now: Time) {
-        if now.since(self.usage_logged_at) < USAGE_LOG_INTERVAL {
+        if now.since(self.write_usage_logged_at) < WRITE_USAGE_LOG_INTERVAL {
             return;
         }
-        self.usage_logged_at = now;
+        self.write_usage_logged_at = now;
         self.log_admission(now);
-        if !self.usage.is_empty() {
-            log::info!("writes to the state service in the last minute, by kind of record: {}", self.usage);
-            self.usage.clear();
+        if !self.write_usage.is_empty() {
+            log::info!("writes to the state service in the last minute, by kind of record: {}", self.write_usage);
+            self.write_usage.clear();
         }
     }
 
     /// Logs the number of calls that were not admitted and the fill levels of the buckets, if there were such calls.
     fn log_admission(&mut self, now: Time) {
-        let deferred = self.admission.take_deferred();
-        if deferred.is_empty() {
+        let denied = self.admission.take_denied();
+        if denied.is_empty() {
             return;
         }
-        let deferred: Vec<String> = deferred.iter().map(|(class, count)| format!("{class}: {count}")).collect();
+        let denied: Vec<String> = denied.iter().map(|(class, count)| format!("{class}: {count}")).collect();
         let (requests, writes) = self.admission.levels(now);
         log::info!(
-            "calls to the state service not admitted in the last minute, by traffic class: {}; tokens left in this node's \
-             buckets: {requests:.0} requests, {writes:.0} writes",
-            deferred.join("; ")
+            "calls to the state service not admitted in the last minute, by traffic class: {}; tokens left in this \
+             node's buckets: {requests:.0} requests, {writes:.0} writes",
+            denied.join("; ")
         );
     }
 }
--- a/src/coordination/relay.rs
+++ b/src/coordination/relay.rs
@@ -14,7 +14,7 @@
 
 /// Length of the first relay period of a worker. At the end of each period the worker is redirected to the leader
 /// again.
-const FIRST_RELAY_PERIOD: Span = Span::millis(10_000);
+const INITIAL_RELAY_PERIOD: Span = Span::millis(10_000);
 /// Upper bound of the length of a relay period.
 const MAX_RELAY_PERIOD: Span = Span::millis(80_000);
 /// Factor by which each relay period is longer than the previous one.
@@ -30,25 +30,25 @@
     /// Leadership term of the shard in which the relay began. In another term the relay does not apply.
     term: Revision,
     /// Time at which the worker was last redirected to the leader, or at which the relay began.
-    period_start: Time,
+    period_started_at: Time,
     /// Length of the present relay period.
     period: Span,
     /// Arrival time of the worker's last heartbeat at this node.
-    last_heartbeat: Time,
+    last_heartbeat_at: Time,
 }
 
 impl Relay {
     fn new(term: Revision, now: Time) -> Relay {
-        Relay { term, period_start: now, period: FIRST_RELAY_PERIOD, last_heartbeat: now }
+        Relay { term, period_started_at: now, period: INITIAL_RELAY_PERIOD, last_heartbeat_at: now }
     }
 
     fn is_period_over(&self, now: Time) -> bool {
-        now.since(self.period_start) >= self.period
+        now.since(self.period_started_at) >= self.period
     }
 
     /// Begins the next period, which is longer, up to [`MAX_RELAY_PERIOD`].
     fn begin_next_period(&mut self, now: Time) {
-        self.period_start = now;
+        self.period_started_at = now;
         self.period = self.period.times(RELAY_PERIOD_FACTOR).min(MAX_RELAY_PERIOD);
     }
 }
@@ -86,15 +86,15 @@
         let term = self.membership.leadership(shard).map_or(Revision(0), |leadership| leadership.term);
         let leader = self.leader_of(shard).filter(|node| **node != self.settings.label);
         let redirect_to_leader = workers::redirect(leader.map(|node| node.as_str()));
-        let was_with_leader = term.0 > 0 && heartbeat.token.0 >= term.0;
-        if !was_with_leader || leader.is_none() {
+        let was_answered_by_leader = term.0 > 0 && heartbeat.token.0 >= term.0;
+        if !was_answered_by_leader || leader.is_none() {
             return self.reply(requester, redirect_to_leader);
         }
         if self.reachable_leader(shard).is_none() {
             // Neither the worker nor this node reaches the leader. Another node may reach it.
             return self.reply(requester, workers::redirect(None));
         }
-        if self.is_sent_to_leader(&heartbeat.machine, shard, term) {
+        if self.redirects_to_leader(&heartbeat.machine, shard, term) {
             return self.reply(requester, redirect_to_leader);
         }
         self.forward(requester, shard, ForwardedRequest::WorkerHeartbeat(heartbeat));
@@ -102,18 +102,18 @@
 
     /// Returns `true` if a worker that was answered by the leader before is redirected there now, and `false` if its
     /// heartbeat is relayed. Begins a relay if there is none.
-    fn is_sent_to_leader(&mut self, machine: &MachineId, shard: ShardId, term: Revision) -> bool {
+    fn redirects_to_leader(&mut self, machine: &MachineId, shard: ShardId, term: Revision) -> bool {
         let now = self.now;
         let worker_lease = self.settings.worker_lease;
         // A worker that is redirected and still does not reach the leader must be back before its lease expires.
         let returns_in_time = self.round_trip_to_leader() < worker_lease;
         if let Some(relay) = self.relays.get_in_term(machine, term) {
-            relay.last_heartbeat = now;
-            let is_sent = relay.is_period_over(now) && returns_in_time;
-            if is_sent {
+            relay.last_heartbeat_at = now;
+            let is_redirected = relay.is_period_over(now) && returns_in_time;
+            if is_redirected {
                 relay.begin_next_period(now);
             }
-            return is_sent;
+            return is_redirected;
         }
         log::debug!("machine {machine}: worker does not reach the leader of shard {shard}; beginning a relay");
         self.relays.by_machine.insert(machine.clone(), Relay::new(term, now));
@@ -135,6 +135,6 @@
     pub(super) fn expire_relays(&mut self) {
         let now = self.now;
         let timeout = self.round_trip_to_leader().times(ROUND_TRIPS_UNTIL_LEADER_REACHED);
-        self.relays.by_machine.retain(|_, relay| now.since(relay.last_heartbeat) < timeout);
+        self.relays.by_machine.retain(|_, relay| now.since(relay.last_heartbeat_at) < timeout);
     }
 }
--- a/src/coordination/request_statistics.rs
+++ b/src/coordination/request_statistics.rs
@@ -19,11 +19,11 @@
     /// Number of replies to users and workers by HTTP status.
     replies: BTreeMap<u16, u64>,
     /// Number of replies that ask the client to retry, by reason.
-    busy: BTreeMap<BusyReason, u64>,
+    busy_replies: BTreeMap<BusyReason, u64>,
     /// Times from sending a call to the state service to its answer or failure, in milliseconds.
     state_latencies: Histogram<u32>,
     /// Longest interval between two ticks.
-    longest_pause: Span,
+    longest_tick_interval: Span,
     /// Time at which the statistics were last logged.
     logged_at: Time,
 }
@@ -35,29 +35,29 @@
             Histogram::new_with_max(MAX_LATENCY_MS, LATENCY_DIGITS).expect("constant bounds are valid");
         RequestStatistics {
             replies: BTreeMap::new(),
-            busy: BTreeMap::new(),
+            busy_replies: BTreeMap::new(),
             state_latencies,
-            longest_pause: Span::ZERO,
+            longest_tick_interval: Span::ZERO,
             logged_at: now,
         }
     }
 
     /// Counts a reply to a user or a worker.
-    pub fn replied(&mut self, reply: &Reply) {
+    pub fn record_reply(&mut self, reply: &Reply) {
         *self.replies.entry(reply.status).or_default() += 1;
         if let Some(reason) = reply.busy_reason {
-            *self.busy.entry(reason).or_default() += 1;
+            *self.busy_replies.entry(reason).or_default() += 1;
         }
     }
 
     /// Records the latency of a call to the state service.
-    pub fn state_answered(&mut self, latency: Span) {
+    pub fn record_state_latency(&mut self, latency: Span) {
         self.state_latencies.saturating_record(latency.as_millis());
     }
 
     /// Records the interval between two ticks.
-    pub fn paused(&mut self, pause: Span) {
-        self.longest_pause = self.longest_pause.max(pause);
+    pub fn record_tick_interval(&mut self, interval: Span) {
+        self.longest_tick_interval = self.longest_tick_interval.max(interval);
     }
 
     /// Logs the statistics and resets them if [`LOG_INTERVAL`] has passed. Logs nothing if there were no replies.
@@ -69,20 +69,20 @@
             log::info!(
                 "replies in the last minute, by status: {}; replies to be retried, by reason: {}; latency of the state \
                  service: median {} ms, p99 {} ms, maximum {} ms of {} calls; longest interval between ticks: {} ms",
-                list(&self.replies),
-                list(&self.busy),
+                format_counts(&self.replies),
+                format_counts(&self.busy_replies),
                 self.state_latencies.value_at_quantile(0.5),
                 self.state_latencies.value_at_quantile(0.99),
                 self.state_latencies.max(),
                 self.state_latencies.len(),
-                self.longest_pause.as_millis()
+                self.longest_tick_interval.as_millis()
             );
         }
         *self = RequestStatistics::new(now);
     }
 }
 
-fn list(counts: &BTreeMap<impl Display, u64>) -> String {
+fn format_counts(counts: &BTreeMap<impl Display, u64>) -> String {
     if counts.is_empty() {
         return "none".to_string();
     }
@@ -93,7 +93,7 @@
 impl Controller {
     /// Records the interval since the last tick, and logs the statistics once a minute.
     pub(super) fn statistics_tick(&mut self, time_since_last_tick: Span) {
-        self.statistics.paused(time_since_last_tick);
+        self.statistics.record_tick_interval(time_since_last_tick);
         self.statistics.log_if_due(self.now);
     }
 }
--- a/src/coordination/state_admission.rs
+++ b/src/coordination/state_admission.rs
@@ -46,35 +46,50 @@
 }
 
 /// Number of traffic classes.
-const CLASSES: usize = TrafficClass::BackgroundWrite as usize + 1;
+const CLASS_COUNT: usize = TrafficClass::BackgroundWrite as usize + 1;
 
 /// Conditions under which calls of a class are admitted.
 struct ClassPolicy {
     /// Minimum fill level of the request bucket, as a fraction of its burst; negative if the bucket may be in debt.
     /// `None` if the level does not matter.
-    request_level: Option<f64>,
+    min_request_fill: Option<f64>,
     /// Minimum fill level of the write bucket, as a fraction of its burst; negative if the bucket may be in debt.
     /// `None` if the level does not matter.
-    write_level: Option<f64>,
+    min_write_fill: Option<f64>,
     /// Fraction of the rate that the class gets even when the buckets are below these levels. The fractions of all
     /// classes add up to less than 1.
-    floor: f64,
+    guaranteed_fraction: f64,
     /// Tokens that a call takes from the write bucket in addition to those for its own writes, so that tokens are left
     /// for more urgent calls.
-    surcharge: f64,
+    extra_write_tokens: f64,
 }
 
 impl ClassPolicy {
-    const fn reads(request_level: f64, floor: f64) -> ClassPolicy {
-        ClassPolicy { request_level: Some(request_level), write_level: None, floor, surcharge: 0.0 }
+    const fn reads(min_request_fill: f64, guaranteed_fraction: f64) -> ClassPolicy {
+        ClassPolicy {
+            min_request_fill: Some(min_request_fill),
+            min_write_fill: None,
+            guaranteed_fraction,
+            extra_write_tokens: 0.0,
+        }
     }
 
-    const fn writes(write_level: f64, floor: f64) -> ClassPolicy {
-        ClassPolicy { request_level: None, write_level: Some(write_level), floor, surcharge: 0.0 }
+    const fn writes(min_write_fill: f64, guaranteed_fraction: f64) -> ClassPolicy {
+        ClassPolicy {
+            min_request_fill: None,
+            min_write_fill: Some(min_write_fill),
+            guaranteed_fraction,
+            extra_write_tokens: 0.0,
+        }
     }
 
-    const fn both(level: f64, floor: f64) -> ClassPolicy {
-        ClassPolicy { request_level: Some(level), write_level: Some(level), floor, surcharge: 0.0 }
+    const fn both(level: f64, guaranteed_fraction: f64) -> ClassPolicy {
+        ClassPolicy {
+            min_request_fill: Some(level),
+            min_write_fill: Some(level),
+            guaranteed_fraction,
+            extra_write_tokens: 0.0,
+        }
     }
 }
 
@@ -90,7 +105,7 @@
             TrafficClass::Acceptance => Some(ClassPolicy::both(-0.5, 0.2)),
             TrafficClass::Adoption => Some(ClassPolicy::both(-0.5, 0.1)),
             TrafficClass::MachineRecord => Some(ClassPolicy::writes(0.0, 0.15)),
-            TrafficClass::Progress => Some(ClassPolicy { surcharge: 0.5, ..ClassPolicy::writes(0.0, 0.05) }),
+            TrafficClass::Progress => Some(ClassPolicy { extra_write_tokens: 0.5, ..ClassPolicy::writes(0.0, 0.05) }),
             TrafficClass::RecordRead => Some(ClassPolicy::reads(0.0, 0.2)),
             TrafficClass::StaleRecord => Some(ClassPolicy::writes(0.0, 0.03)),
             TrafficClass::BackgroundRead => Some(ClassPolicy::reads(0.25, 0.0)),
@@ -127,15 +142,15 @@
 /// State of one traffic class.
 struct ClassState {
     /// Bucket of the guaranteed rate.
-    floor: RateLimiter,
+    guaranteed: RateLimiter,
     /// Number of calls that were admitted at `admitted_at` and are not sent yet.
     admitted: u32,
     /// Time of the event in which `admitted` calls were admitted. Their admission ends with that event.
     admitted_at: Time,
-    /// Number of calls that were not admitted since `take_deferred` was last called.
-    deferred: u64,
+    /// Number of calls that were not admitted since `take_denied` was last called.
+    denied: u64,
     /// Numbers of calls that were not admitted in the present second and in the previous one.
-    recent: RecentCount,
+    recent_denials: RecentCount,
 }
 
 /// Counter of events in the present second and in the previous one.
@@ -151,17 +166,17 @@
 
 impl RecentCount {
     fn add(&mut self, now: Time) {
-        self.move_to(now);
+        self.advance_to(now);
         self.count += 1;
     }
 
     /// Returns the number of events in the previous second.
-    fn in_last_second(&mut self, now: Time) -> u64 {
-        self.move_to(now);
+    fn in_previous_second(&mut self, now: Time) -> u64 {
+        self.advance_to(now);
         self.previous_count
     }
 
-    fn move_to(&mut self, now: Time) {
+    fn advance_to(&mut self, now: Time) {
         let second = now.since(Time::ZERO).as_millis() / MILLIS_PER_SECOND;
         if second != self.second {
             self.previous_count = if second == self.second + 1 { self.count } else { 0 };
@@ -175,7 +190,7 @@
 pub(super) struct StateAdmission {
     requests: RateLimiter,
     writes: RateLimiter,
-    classes: [ClassState; CLASSES],
+    classes: [ClassState; CLASS_COUNT],
 }
 
 impl StateAdmission {
@@ -183,11 +198,11 @@
     /// [`StateAdmission::set_rates`] is called.
     pub fn new(requests_per_second: f64, writes_per_second: f64) -> StateAdmission {
         let class = |_| ClassState {
-            floor: RateLimiter::new(0.0, 1.0),
+            guaranteed: RateLimiter::new(0.0, 1.0),
             admitted: 0,
             admitted_at: Time::ZERO,
-            deferred: 0,
-            recent: RecentCount::default(),
+            denied: 0,
+            recent_denials: RecentCount::default(),
         };
         StateAdmission {
             requests: RateLimiter::new(requests_per_second, requests_per_second),
@@ -202,9 +217,9 @@
         self.writes.set_rate(writes_per_second, writes_per_second);
         for class in BOUNDED_CLASSES {
             let Some(policy) = class.policy() else { continue };
-            let limit = if policy.write_level.is_some() { writes_per_second } else { requests_per_second };
-            let rate = limit * policy.floor;
-            self.classes[class as usize].floor.set_rate(rate, rate.max(1.0));
+            let limit = if policy.min_write_fill.is_some() { writes_per_second } else { requests_per_second };
+            let rate = limit * policy.guaranteed_fraction;
+            self.classes[class as usize].guaranteed.set_rate(rate, rate.max(1.0));
         }
     }
 
@@ -212,28 +227,28 @@
     /// handled.
     pub fn admits(&mut self, now: Time, class: TrafficClass) -> bool {
         let Some(policy) = class.policy() else { return true };
-        let is_admitted = self.is_filled(now, &policy) || self.takes_floor(now, class, &policy);
+        let is_admitted = self.has_min_fill(now, &policy) || self.take_guaranteed(now, class, &policy);
         let state = &mut self.classes[class as usize];
         if is_admitted {
             state.admit(now);
         } else {
-            state.deferred += 1;
-            state.recent.add(now);
+            state.denied += 1;
+            state.recent_denials.add(now);
         }
         is_admitted
     }
 
     /// Returns `true` if a background write would be admitted.
     pub fn is_quiet(&mut self, now: Time) -> bool {
-        TrafficClass::BackgroundWrite.policy().is_some_and(|policy| self.is_filled(now, &policy))
+        TrafficClass::BackgroundWrite.policy().is_some_and(|policy| self.has_min_fill(now, &policy))
     }
 
     /// Returns the seconds after which a client whose call was not admitted should retry. Grows with the number of
     /// calls that were not admitted in the previous second, so that clients do not come back faster than their calls
     /// can be sent.
     pub fn retry_after(&mut self, now: Time, class: TrafficClass) -> u32 {
-        let turned_away = self.classes[class as usize].recent.in_last_second(now);
-        let seconds = (turned_away as f64 / self.writes.rate().max(1.0)).ceil() as u32;
+        let denied_count = self.classes[class as usize].recent_denials.in_previous_second(now);
+        let seconds = (denied_count as f64 / self.writes.rate().max(1.0)).ceil() as u32;
         seconds.clamp(1, MAX_RETRY_AFTER_S)
     }
 
@@ -255,22 +270,22 @@
     }
 
     /// Empties the buckets, because the service has refused a call over its rate limit.
-    pub fn limit_exceeded(&mut self, now: Time) {
+    pub fn record_limit_exceeded(&mut self, now: Time) {
         self.requests.drain(now);
         self.writes.drain(now);
     }
 
     /// Returns the number of calls of each class that were not admitted since the previous call, without classes for
     /// which it is zero.
-    pub fn take_deferred(&mut self) -> Vec<(TrafficClass, u64)> {
-        let mut deferred = Vec::new();
+    pub fn take_denied(&mut self) -> Vec<(TrafficClass, u64)> {
+        let mut denied = Vec::new();
         for class in BOUNDED_CLASSES {
-            let count = std::mem::take(&mut self.classes[class as usize].deferred);
+            let count = std::mem::take(&mut self.classes[class as usize].denied);
             if count > 0 {
-                deferred.push((class, count));
+                denied.push((class, count));
             }
         }
-        deferred
+        denied
     }
 
     /// Returns the tokens in the request bucket and in the write bucket; negative in debt.
@@ -278,22 +293,23 @@
         (self.requests.level(now), self.writes.level(now))
     }
 
-    /// Returns `true` if the buckets are filled to the levels of the policy, and if so takes the policy's surcharge.
-    fn is_filled(&mut self, now: Time, policy: &ClassPolicy) -> bool {
+    /// Returns `true` if the buckets are filled to the levels of the policy, and if so takes the extra tokens of
+    /// the policy.
+    fn has_min_fill(&mut self, now: Time, policy: &ClassPolicy) -> bool {
         let is_filled = |bucket: &mut RateLimiter, level: Option<f64>, more: f64| {
             level.is_none_or(|level| bucket.is_filled_beyond(now, level, more))
         };
-        let is_filled = is_filled(&mut self.requests, policy.request_level, 0.0)
-            && is_filled(&mut self.writes, policy.write_level, policy.surcharge);
-        if is_filled {
-            self.writes.take_on_credit(now, policy.surcharge);
+        let has_min_fill = is_filled(&mut self.requests, policy.min_request_fill, 0.0)
+            && is_filled(&mut self.writes, policy.min_write_fill, policy.extra_write_tokens);
+        if has_min_fill {
+            self.writes.take_on_credit(now, policy.extra_write_tokens);
         }
-        is_filled
+        has_min_fill
     }
 
     /// Takes a token of the guaranteed rate of a class. Returns `false` if there is none.
-    fn takes_floor(&mut self, now: Time, class: TrafficClass, policy: &ClassPolicy) -> bool {
-        policy.floor > 0.0 && self.classes[class as usize].floor.take(now, 1.0)
+    fn take_guaranteed(&mut self, now: Time, class: TrafficClass, policy: &ClassPolicy) -> bool {
+        policy.guaranteed_fraction > 0.0 && self.classes[class as usize].guaranteed.take(now, 1.0)
     }
 }
 
--- a/src/coordination/state_admission/tests.rs
+++ b/src/coordination/state_admission/tests.rs
@@ -12,8 +12,8 @@
 }
 
 /// Returns the number of writes in a call of a class.
-fn changes_of(class: TrafficClass) -> usize {
-    usize::from(class.policy().is_some_and(|policy| policy.write_level.is_some()))
+fn writes_of(class: TrafficClass) -> usize {
+    usize::from(class.policy().is_some_and(|policy| policy.min_write_fill.is_some()))
 }
 
 /// Sends as many calls of the given classes as are admitted, every 10 ms. Returns the average number of calls per
@@ -25,7 +25,7 @@
         let now = Time::ZERO + Span::millis(10 * step);
         for (class, sent) in classes.iter().zip(&mut sent) {
             while admission.admits(now, *class) {
-                assert_eq!(admission.send(now, *class, changes_of(*class)), Ok(()));
+                assert_eq!(admission.send(now, *class, writes_of(*class)), Ok(()));
                 *sent += 1;
             }
         }
@@ -34,25 +34,30 @@
 }
 
 #[test]
-fn each_class_gets_its_floor_while_every_other_one_asks_for_all() {
+fn each_class_gets_its_guaranteed_rate_while_all_others_send_as_much_as_they_can() {
     let classes = BOUNDED_CLASSES;
-    for ((class, sent), floor_limit) in classes.iter().zip(sent_per_second(&classes)).zip(classes.map(floor_limit)) {
-        assert!(sent >= 0.9 * floor_limit, "{class}: {sent} calls per second, but {floor_limit} are guaranteed");
+    for ((class, sent), guaranteed_rate) in
+        classes.iter().zip(sent_per_second(&classes)).zip(classes.map(guaranteed_rate))
+    {
+        assert!(
+            sent >= 0.9 * guaranteed_rate,
+            "{class}: {sent} calls per second, but {guaranteed_rate} are guaranteed"
+        );
     }
 }
 
 /// Returns the calls per second that are guaranteed to a class.
-fn floor_limit(class: TrafficClass) -> f64 {
+fn guaranteed_rate(class: TrafficClass) -> f64 {
     let policy = class.policy().expect("the class is bounded");
-    let limit = if policy.write_level.is_some() { WRITES_PER_SECOND } else { REQUESTS_PER_SECOND };
-    limit * policy.floor
+    let limit = if policy.min_write_fill.is_some() { WRITES_PER_SECOND } else { REQUESTS_PER_SECOND };
+    limit * policy.guaranteed_fraction
 }
 
 #[test]
 fn all_classes_together_keep_to_the_limit() {
     let writers: Vec<TrafficClass> = BOUNDED_CLASSES
         .into_iter()
-        .filter(|class| class.policy().is_some_and(|policy| policy.write_level.is_some()))
+        .filter(|class| class.policy().is_some_and(|policy| policy.min_write_fill.is_some()))
         .collect();
     let sent: f64 = sent_per_second(&writers).iter().sum();
     // The buckets are full at the start and may end in debt.
@@ -81,7 +86,7 @@
 }
 
 #[test]
-fn clients_that_were_turned_away_retry_later_the_more_there_are() {
+fn retry_delay_grows_with_the_number_of_calls_that_were_not_admitted() {
     let mut admission = admission();
     let class = TrafficClass::Acceptance;
     let second = |number: u64| Time::ZERO + Span::millis(1000 * number);
