--- a/src/coordination/controller.rs
+++ b/src/coordination/controller.rs
@@ -47,7 +47,7 @@
 /// Each component owns its state and is defined in a module of its own, together with the `impl Controller` block that
 /// works on it. `Controller` joins the components, dispatches events to them, and collects the resulting actions.
 pub struct Controller {
-    /// Settings file of the platform and properties file of the operators.
+    /// Settings of the platform, and properties set by the operators.
     pub(super) settings: Settings,
     /// Number that distinguishes this process from earlier and later processes of the same node label.
     pub(super) incarnation: u64,
@@ -205,8 +205,8 @@
                 1.0 / nodes
             }
         };
-        let led_shards: f64 = (0..team_shards).map(ShardId).map(fraction_of_shard).sum();
-        even_fraction / nodes + (1.0 - even_fraction) * led_shards / f64::from(team_shards)
+        let shard_fractions: f64 = (0..team_shards).map(ShardId).map(fraction_of_shard).sum();
+        even_fraction / nodes + (1.0 - even_fraction) * shard_fractions / f64::from(team_shards)
     }
 
     /// Returns the shard that takes all jobs and machines if there is only one such shard. No record has to be read in
@@ -226,7 +226,7 @@
         self.shards.values().filter(decidable).map(|shard| shard.id).collect()
     }
 
-    /// Sends the reply to a request of a client of this node, or of another controller's client.
+    /// Replies to a client of this node, or to the controller that forwarded the request.
     pub(super) fn reply(&mut self, requester: Requester, reply: Reply) {
         match requester {
             Requester::Local(id) => {
@@ -246,7 +246,7 @@
     }
 
     /// Returns `true` if a call of this class may be sent to the state service now. The caller must then send it before
-    /// the current event is handled.
+    /// the next event is handled.
     pub(super) fn admits(&mut self, class: TrafficClass) -> bool {
         self.calls.admits(self.now, class)
     }
--- a/src/coordination/worker_heartbeats/registration.rs
+++ b/src/coordination/worker_heartbeats/registration.rs
@@ -151,16 +151,17 @@
     }
 
     /// Returns the shard of a machine without a record, derived from the number in its id. The operators' own machines
-    /// are thereby distributed evenly, but only among the shards that take jobs: in other shards they would be idle.
+    /// are thereby distributed evenly, as the design requires, but only among the shards that take jobs: in other
+    /// shards they would be idle.
     pub(in crate::coordination) fn default_shard(&self, machine: &MachineId) -> ShardId {
         let digits = machine.as_str().bytes().filter(u8::is_ascii_digit);
         let number = digits.fold(0u64, |number, digit| number.wrapping_mul(10).wrapping_add(u64::from(digit - b'0')));
         ShardId((number % u64::from(self.settings.team_shards())) as u32)
     }
 
-    /// Returns `true` if a machine without a record was deleted. Its last heartbeats may arrive late and
-    /// must not register it again. A machine whose fencing token shows that it was answered before had a record. If
-    /// that record is gone, the machine was deleted: it counts as removed once the cloud's list no longer contains it.
+    /// Returns `true` if a machine without a record was deleted. Its last heartbeats may arrive late and must not
+    /// register it again. A machine whose fencing token shows that it was answered before had a record. If that record
+    /// is gone, the machine was deleted: it counts as removed once the cloud's list no longer contains it.
     fn is_removed(&self, heartbeat: &WorkerHeartbeat) -> bool {
         let machine = &heartbeat.machine;
         let record_is_being_removed =
