--- a/crates/reconciliation/src/stage.rs
+++ b/crates/reconciliation/src/stage.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Stage {
-    /// This node has acquired leadership of the shard, and the records are being read.
+    /// Leadership of the shard is acquired, and the records are being read.
     #[serde(rename = "claimed")]
     Acquired,
     /// The records are in memory, and no machine is reconciled yet.
--- a/src/coordination/state_admission.rs
+++ b/src/coordination/state_admission.rs
@@ -186,7 +186,7 @@
     }
 }
 
-/// This node's share of the state service's rate limits, divided among the traffic classes.
+/// Admission within this node's share of the state service's rate limits, divided among the traffic classes.
 pub(super) struct StateAdmission {
     requests: RateLimiter,
     writes: RateLimiter,
