--- a/src/coordination/request_statistics.rs
+++ b/src/coordination/request_statistics.rs
@@ -1,4 +1,4 @@
-//! What this controller answered in the last minute and how long the state service took, for the log.
+//! Statistics for the log: counts of replies, latency of the state service, and the longest interval between ticks.
 
 use super::controller::Controller;
 use crate::protocol::{BusyReason, Reply};
@@ -7,81 +7,82 @@
 use std::collections::BTreeMap;
 use std::fmt::Display;
 
-/// How often the statistics are logged.
+/// Interval at which the statistics are logged.
 const LOG_INTERVAL: Span = Span::millis(60_000);
-/// The longest latency that is told apart; longer ones count as this one.
+/// Longest latency that the histogram distinguishes. Longer ones count as this one.
 const MAX_LATENCY_MS: u64 = 10_000;
-/// How many significant digits of a latency are kept.
+/// Number of significant decimal digits of the recorded latencies.
 const LATENCY_DIGITS: u8 = 2;
 
-/// Counts since the statistics were last logged.
+/// Statistics since they were last logged.
 pub(super) struct RequestStatistics {
-    /// Replies to users and workers by status.
+    /// Number of replies to users and workers by HTTP status.
     replies: BTreeMap<u16, u64>,
-    /// Replies that ask to retry, by reason.
-    busy: BTreeMap<BusyReason, u64>,
-    /// From when a call to the state service was sent to when it was answered or given up, in milliseconds.
+    /// Number of replies that ask the client to retry, by reason.
+    busy_replies: BTreeMap<BusyReason, u64>,
+    /// Times from sending a call to the state service to its answer or failure, in milliseconds.
     state_latencies: Histogram<u32>,
-    /// The longest time between two ticks.
-    longest_pause: Span,
+    /// Longest interval between two ticks.
+    longest_tick_interval: Span,
+    /// Time at which the statistics were last logged.
     logged_at: Time,
 }
 
 impl RequestStatistics {
-    /// Nothing was counted yet.
+    /// Creates empty statistics.
     pub fn new(now: Time) -> RequestStatistics {
-        // The bounds are constants that the histogram accepts.
-        let state_latencies = Histogram::new_with_max(MAX_LATENCY_MS, LATENCY_DIGITS).expect("the bounds are valid");
+        let state_latencies =
+            Histogram::new_with_max(MAX_LATENCY_MS, LATENCY_DIGITS).expect("constant bounds are valid");
         RequestStatistics {
             replies: BTreeMap::new(),
-            busy: BTreeMap::new(),
+            busy_replies: BTreeMap::new(),
             state_latencies,
-            longest_pause: Span::ZERO,
+            longest_tick_interval: Span::ZERO,
             logged_at: now,
         }
     }
 
     /// Counts a reply to a user or a worker.
-    pub fn replied(&mut self, reply: &Reply) {
+    pub fn record_reply(&mut self, reply: &Reply) {
         *self.replies.entry(reply.status).or_default() += 1;
         if let Some(reason) = reply.busy_reason {
-            *self.busy.entry(reason).or_default() += 1;
+            *self.busy_replies.entry(reason).or_default() += 1;
         }
     }
 
-    /// Records how long a call to the state service took.
-    pub fn state_answered(&mut self, latency: Span) {
+    /// Records the latency of a call to the state service.
+    pub fn record_state_latency(&mut self, latency: Span) {
         self.state_latencies.saturating_record(latency.as_millis());
     }
 
-    /// Records the time between two ticks.
-    pub fn paused(&mut self, pause: Span) {
-        self.longest_pause = self.longest_pause.max(pause);
+    /// Records the interval between two ticks.
+    pub fn record_tick_interval(&mut self, interval: Span) {
+        self.longest_tick_interval = self.longest_tick_interval.max(interval);
     }
 
-    /// Logs the statistics once a minute and starts over.
+    /// Logs the statistics and resets them if [`LOG_INTERVAL`] has passed. Logs nothing if there were no replies.
     fn log_if_due(&mut self, now: Time) {
         if now.since(self.logged_at) < LOG_INTERVAL {
             return;
         }
         if !self.replies.is_empty() {
             log::info!(
-                "replies in the last minute: {}; to be retried: {}; state service: median {} ms, 99% {} ms, longest {} ms of {} calls; \
-                 longest pause {} ms",
-                list(&self.replies),
-                list(&self.busy),
+                "replies in the last minute, by status: {}; replies to be retried, by reason: {}; latency of the state \
+                 service: median {} ms, p99 {} ms, maximum {} ms of {} calls; longest interval between ticks: {} ms",
+                format_counts(&self.replies),
+                format_counts(&self.busy_replies),
                 self.state_latencies.value_at_quantile(0.5),
                 self.state_latencies.value_at_quantile(0.99),
                 self.state_latencies.max(),
                 self.state_latencies.len(),
-                self.longest_pause.as_millis()
+                self.longest_tick_interval.as_millis()
             );
         }
         *self = RequestStatistics::new(now);
     }
 }
 
-fn list(counts: &BTreeMap<impl Display, u64>) -> String {
+fn format_counts(counts: &BTreeMap<impl Display, u64>) -> String {
     if counts.is_empty() {
         return "none".to_string();
     }
@@ -90,9 +91,9 @@
 }
 
 impl Controller {
-    /// Logs once a minute what was answered.
+    /// Records the interval since the last tick, and logs the statistics once a minute.
     pub(super) fn statistics_tick(&mut self, time_since_last_tick: Span) {
-        self.statistics.paused(time_since_last_tick);
+        self.statistics.record_tick_interval(time_since_last_tick);
         self.statistics.log_if_due(self.now);
     }
 }
--- a/src/coordination/state_admission/tests.rs
+++ b/src/coordination/state_admission/tests.rs
@@ -11,12 +11,13 @@
     admission
 }
 
-/// How many changes a call of a class makes.
-fn changes_of(class: TrafficClass) -> usize {
-    usize::from(class.policy().is_some_and(|policy| policy.write_level.is_some()))
+/// Returns the number of writes in a call of a class.
+fn writes_of(class: TrafficClass) -> usize {
+    usize::from(class.policy().is_some_and(|policy| policy.min_write_fill.is_some()))
 }
 
-/// Asks for calls of each of the given classes every 10 ms. Returns how many of each were sent in a second on average.
+/// Sends as many calls of the given classes as are admitted, every 10 ms. Returns the average number of calls per
+/// second for each class.
 fn sent_per_second(classes: &[TrafficClass]) -> Vec<f64> {
     let mut admission = admission();
     let mut sent = vec![0; classes.len()];
@@ -24,7 +25,7 @@
         let now = Time::ZERO + Span::millis(10 * step);
         for (class, sent) in classes.iter().zip(&mut sent) {
             while admission.admits(now, *class) {
-                assert_eq!(admission.send(now, *class, changes_of(*class)), Ok(()));
+                assert_eq!(admission.send(now, *class, writes_of(*class)), Ok(()));
                 *sent += 1;
             }
         }
@@ -33,37 +34,42 @@
 }
 
 #[test]
-fn each_class_gets_its_floor_while_every_other_one_asks_for_all() {
+fn each_class_gets_its_guaranteed_rate_while_all_others_send_as_much_as_they_can() {
     let classes = BOUNDED_CLASSES;
-    for ((class, sent), floor_limit) in classes.iter().zip(sent_per_second(&classes)).zip(classes.map(floor_limit)) {
-        assert!(sent >= 0.9 * floor_limit, "{class}: {sent} calls a second, its floor is {floor_limit}");
+    for ((class, sent), guaranteed_rate) in
+        classes.iter().zip(sent_per_second(&classes)).zip(classes.map(guaranteed_rate))
+    {
+        assert!(
+            sent >= 0.9 * guaranteed_rate,
+            "{class}: {sent} calls per second, but {guaranteed_rate} are guaranteed"
+        );
     }
 }
 
-/// The calls a second that the floor of a class stands for.
-fn floor_limit(class: TrafficClass) -> f64 {
+/// Returns the calls per second that are guaranteed to a class.
+fn guaranteed_rate(class: TrafficClass) -> f64 {
     let policy = class.policy().expect("the class is bounded");
-    let limit = if policy.write_level.is_some() { WRITES_PER_SECOND } else { REQUESTS_PER_SECOND };
-    limit * policy.floor
+    let limit = if policy.min_write_fill.is_some() { WRITES_PER_SECOND } else { REQUESTS_PER_SECOND };
+    limit * policy.guaranteed_fraction
 }
 
 #[test]
 fn all_classes_together_keep_to_the_limit() {
     let writers: Vec<TrafficClass> = BOUNDED_CLASSES
         .into_iter()
-        .filter(|class| class.policy().is_some_and(|policy| policy.write_level.is_some()))
+        .filter(|class| class.policy().is_some_and(|policy| policy.min_write_fill.is_some()))
         .collect();
     let sent: f64 = sent_per_second(&writers).iter().sum();
     // The buckets are full at the start and may end in debt.
     let allowance = 3.0 * WRITES_PER_SECOND / SECONDS as f64;
-    assert!(sent <= WRITES_PER_SECOND + allowance, "{sent} changes a second");
+    assert!(sent <= WRITES_PER_SECOND + allowance, "{sent} writes per second");
 }
 
 #[test]
 fn submissions_alone_leave_room_for_reads() {
     let sent = sent_per_second(&[TrafficClass::Acceptance, TrafficClass::RecordRead]);
-    assert!(sent[0] >= 0.9 * WRITES_PER_SECOND, "{} acceptances a second", sent[0]);
-    assert!(sent[1] >= 0.2 * REQUESTS_PER_SECOND, "{} reads a second", sent[1]);
+    assert!(sent[0] >= 0.9 * WRITES_PER_SECOND, "{} acceptances per second", sent[0]);
+    assert!(sent[1] >= 0.2 * REQUESTS_PER_SECOND, "{} reads per second", sent[1]);
 }
 
 #[test]
@@ -74,13 +80,13 @@
     }
     assert_eq!(admission.send(now, TrafficClass::Leadership, 0), Ok(()));
     assert!(admission.admits(now, TrafficClass::Acceptance));
-    // An admission counts for one call, and only in the event for which it was given.
+    // An admission is valid for one call, and only while the event is handled in which it was given.
     let later = now + Span::millis(1);
     assert_eq!(admission.send(later, TrafficClass::Acceptance, 1), Err(NotAdmitted(TrafficClass::Acceptance)));
 }
 
 #[test]
-fn clients_that_were_turned_away_retry_later_the_more_there_are() {
+fn retry_delay_grows_with_the_number_of_calls_that_were_not_admitted() {
     let mut admission = admission();
     let class = TrafficClass::Acceptance;
     let second = |number: u64| Time::ZERO + Span::millis(1000 * number);
