--- a/src/coordination/shard/attempts.rs
+++ b/src/coordination/shard/attempts.rs
@@ -1,5 +1,5 @@
-//! The attempts of a shard: how they are placed on machines, how they end, and how heartbeats of machines are applied
-//! to them.
+//! Lifecycle of a shard's attempts: placement on machines, updates from worker heartbeats, and the accounting when an
+//! attempt ends.
 
 use super::AttemptProgress;
 use super::{Attempt, AttemptLocation, AttemptOutcome, HeartbeatNumber, Job, Shard, UNBOUNDED};
@@ -10,21 +10,20 @@
 use crowstall_reconciliation::TeamLimit;
 use std::collections::{HashMap, HashSet};
 
-/// What has to be known of an attempt when it ends.
+/// Facts about an attempt that are needed when it ends.
 struct EndedAttempt {
     task: TaskId,
     outcome: AttemptOutcome,
-    /// How long it ran, in seconds, if it was seen running.
+    /// Run time in seconds. `None` if the attempt was never reported to be running.
     ran_s: Option<f64>,
 }
 
 impl Shard {
-    /// Returns the most that a team may be using now.
+    /// Returns an upper bound of the resources that a team uses now.
     ///
-    /// A machine that has not answered this leader may be full of the team's tasks, and not only of tasks of jobs that
-    /// are still live: the tasks of a job that was cancelled just before the failover run until they receive a command to stop.
-    /// The same holds for a machine with an attempt whose job has ended, since the team of that job is not known any
-    /// more.
+    /// An unreconciled machine may be fully used by the team, and not only by tasks of live jobs: tasks of a job that
+    /// was cancelled just before the failover run until they receive a command to stop. A machine with an attempt whose
+    /// job has ended counts as fully used by every team as well, since the team of that job is not known any more.
     pub fn team_usage(&self, team: &Name, settings: &Settings, types: &HashMap<Name, MachineType>) -> Resources {
         let counted = self.usage.get(team).copied().unwrap_or_default();
         let ended = self.ended_without_lease.as_ref().and_then(|ended| ended.get(team));
@@ -42,7 +41,8 @@
         counted.plus(&self.recovery.max_unreconciled_usage(team, limit, room, unknown_jobs))
     }
 
-    /// Puts an attempt on a machine, in memory.
+    /// Adds an attempt to a machine in memory, and to its team's usage unless it is over. It becomes the current
+    /// attempt of its task unless it is to be stopped.
     pub fn place(&mut self, machine: &MachineId, no: AttemptNumber, attempt: Attempt) {
         if !attempt.is_over() {
             let usage = self.usage.entry(attempt.team.clone()).or_default();
@@ -59,8 +59,8 @@
         }
     }
 
-    /// Records that an attempt no longer runs: its room and quota are free, and its task is done or goes back to the
-    /// queue.
+    /// Records that an attempt no longer runs: its resources and quota are freed, and its task is completed or becomes
+    /// pending again.
     fn finish_attempt(&mut self, machine_id: &MachineId, no: AttemptNumber, outcome: AttemptOutcome, now: Time) {
         self.record_runtime(machine_id, no, outcome, now);
         let Some(ended) = self.ended_attempt(machine_id, no, outcome, now) else { return };
@@ -88,7 +88,8 @@
         Some(EndedAttempt { task: attempt.task.clone(), outcome, ran_s })
     }
 
-    /// Takes the resources of an attempt off what its team uses.
+    /// Subtracts the resources of an attempt from its team's usage. While the leader lease is not valid, they are
+    /// counted as ended without a lease instead, see [`Shard::record_lease_state`].
     fn free_usage(&mut self, machine_id: &MachineId, no: AttemptNumber) {
         let Some(attempt) = self.machines.get(machine_id).and_then(|machine| machine.attempts.get(&no)) else { return };
         let Some(usage) = self.usage.get_mut(&attempt.team) else { return };
@@ -102,7 +103,7 @@
         }
     }
 
-    /// An attempt that is still counted as running ends: the machine is idle from now on if that was the last one.
+    /// Starts the idle time of a machine if the attempt that ends, which is not marked as over yet, is its last one.
     fn update_idle_since(&mut self, machine_id: &MachineId, now: Time) {
         let Some(machine) = self.machines.get_mut(machine_id) else { return };
         if machine.attempts.values().filter(|attempt| !attempt.is_over()).count() <= 1 {
@@ -110,7 +111,7 @@
         }
     }
 
-    /// Holds a failed attempt against its machine, and a completed one in the machine's favour.
+    /// Counts a failed attempt towards the quarantine of its machine. A completed attempt resets that count.
     fn judge_machine(&mut self, machine_id: &MachineId, ended: &EndedAttempt, now: Time) {
         match ended.outcome {
             AttemptOutcome::Exited(Exit::Error) => self.record_machine_failure(machine_id, &ended.task.job, now),
@@ -123,8 +124,8 @@
         }
     }
 
-    /// An attempt ended that is not the current attempt of its task. A task of an array that has completed is done
-    /// all the same.
+    /// Handles the end of an attempt that is not the current attempt of its task. If the attempt completed a task of a
+    /// job array, the task is done nevertheless.
     fn finish_superseded_attempt(&mut self, ended: &EndedAttempt) {
         let is_array = self.jobs.get(&ended.task.job).is_some_and(|job| job.spec.kind == JobKind::Array);
         if ended.outcome == AttemptOutcome::Exited(Exit::Done) && is_array {
@@ -132,7 +133,7 @@
         }
     }
 
-    /// The current attempt of a task ended.
+    /// Handles the end of the current attempt of a task: the task is completed or becomes pending again.
     fn finish_current_attempt(&mut self, machine_id: &MachineId, ended: &EndedAttempt, now: Time) {
         let Some(job) = self.jobs.get_mut(&ended.task.job) else { return };
         job.progress.running.remove(&ended.task.task.0);
@@ -153,7 +154,8 @@
         }
     }
 
-    /// Holds a failure against the job, which may have to back off.
+    /// Adds a failure to the job's history. The job backs off if it fails everywhere, or if the worker could not find
+    /// it ([`Exit::Unknown`]).
     fn record_job_failure(&mut self, machine_id: &MachineId, ended: &EndedAttempt, now: Time) {
         let Some(job) = self.jobs.get_mut(&ended.task.job) else { return };
         let running = job.progress.running.len();
@@ -163,24 +165,30 @@
             self.queue.invalidate();
         }
         if newly_found {
-            log::info!("job {} fails everywhere", ended.task.job);
+            log::info!(
+                "job {}: tasks failed on {} machines, {running} are running; backing off",
+                ended.task.job,
+                job.failures.machines.len()
+            );
             self.clear_machine_failures(&ended.task.job);
         }
     }
 
-    /// Holds a failure against the machine, unless the job is known to fail everywhere.
+    /// Counts a failure towards the quarantine of the machine, unless the job is unknown or fails everywhere.
     fn record_machine_failure(&mut self, machine_id: &MachineId, job: &JobId, now: Time) {
         if self.jobs.get(job).is_none_or(|job| job.failures.fails_everywhere) {
             return;
         }
         let Some(machine) = self.machines.get_mut(machine_id) else { return };
         if machine.record_failed_job(job, now) {
-            log::warn!("machine {machine_id} is quarantined: tasks of several jobs failed there");
+            log::warn!(
+                "machine {machine_id}: quarantined since tasks of several jobs failed on it; starting no tasks on it"
+            );
         }
     }
 
-    /// Holds none of a job's failures against machines any more: several jobs that fail everywhere would otherwise
-    /// have a machine returned on which they happen to meet.
+    /// Removes a job's failures from the counts of all machines. Otherwise a machine on which tasks of several jobs
+    /// that fail everywhere happened to run would be quarantined and returned to the cloud.
     fn clear_machine_failures(&mut self, job: &JobId) {
         for machine in self.machines.values_mut() {
             machine.clear_failed_job(job);
@@ -195,7 +203,7 @@
         }
     }
 
-    /// Removes the attempts of a machine that are known to be gone. Attempts that were not over are lost.
+    /// Removes the attempts of a machine for which `is_gone` returns `true`. Attempts that were not over end as lost.
     fn remove_attempts(
         &mut self,
         machine_id: &MachineId,
@@ -215,7 +223,7 @@
         }
     }
 
-    /// Has all attempts of a job stopped that are not over, without time to save.
+    /// Marks all attempts of a job that are not over to be stopped at once, without time to save their progress.
     pub fn stop_attempts_of(&mut self, job: &JobId) {
         let attempts = self.machines.values_mut().flat_map(|machine| machine.attempts.values_mut());
         for attempt in attempts.filter(|attempt| attempt.task.job == *job && !attempt.is_over()) {
@@ -223,14 +231,14 @@
         }
     }
 
-    /// Removes all attempts of a machine: no attempt that was ever started on it can still be running.
+    /// Removes all attempts of a machine on which none can be running any more, and marks the machine as reconciled.
     pub fn remove_all_attempts(&mut self, machine_id: &MachineId, now: Time) {
         self.remove_attempts(machine_id, |_, _| true, now);
         self.mark_reconciled(machine_id, now);
     }
 
-    /// Applies a newer heartbeat. A heartbeat that reconciles its machine is applied before the machine is marked as
-    /// reconciled.
+    /// Applies a heartbeat that is newer than all before. If the heartbeat reconciles its machine, the caller applies
+    /// it before it marks the machine as reconciled, so that the attempts found are recorded as inherited.
     pub fn apply_heartbeat(&mut self, heartbeat: &WorkerHeartbeat, now: Time) {
         let id = &heartbeat.machine;
         for status in &heartbeat.tasks {
@@ -243,11 +251,12 @@
         }
         let reported: HashSet<AttemptNumber> = heartbeat.tasks.iter().map(|task| task.attempt).collect();
         let number = HeartbeatNumber::of(heartbeat);
-        // An attempt that was sent in answer to this heartbeat or to a later one may still be on its way.
+        // The command to start an attempt that was sent in answer to this heartbeat or to a later one may still be in
+        // flight, so such an attempt is kept though it is not reported.
         self.remove_attempts(id, |no, attempt| !reported.contains(&no) && attempt.sent_in < number, now);
     }
 
-    /// Applies what a machine reports of an attempt that this leader knows.
+    /// Applies a reported status to an attempt that this leader knows.
     fn apply_status(&mut self, machine_id: &MachineId, status: &TaskStatus, now: Time) {
         let patience = self.runtime_samples.as_ref().map(|samples| samples.patience);
         let Some(attempt) = self.attempt_mut(machine_id, status.attempt) else { return };
@@ -266,7 +275,7 @@
         self.set_attempt_state(machine_id, status);
     }
 
-    /// Adds a reported attempt that this leader did not start: an attempt of a former leader, or of a job that has
+    /// Adds a reported attempt that this leader does not know: one that a former leader started, or one whose job has
     /// ended.
     fn adopt_attempt(&mut self, heartbeat: &WorkerHeartbeat, status: &TaskStatus, now: Time) {
         let attempt = self.reported_attempt(heartbeat, status, now);
@@ -276,13 +285,13 @@
         }
     }
 
-    /// Returns an attempt as a heartbeat describes it. The attempt is to be stopped unless its task has to be done and
-    /// has no other attempt.
+    /// Creates an attempt from its status in a heartbeat. The attempt is to be stopped unless it is over, or its task
+    /// is neither done nor run by another attempt.
     fn reported_attempt(&self, heartbeat: &WorkerHeartbeat, status: &TaskStatus, now: Time) -> Attempt {
         let is_over = matches!(status.state, TaskState::Exited(_));
         let (team, needs) = match self.job_of(&status.task) {
             Some(job) => (job.spec.team.clone(), job.spec.needs),
-            // What the attempt uses is not known, so the machine counts as full until the attempt is gone.
+            // The needs of the attempt are not known, so the machine counts as full until the attempt is gone.
             None => (Name::new(""), Resources { cpus: UNBOUNDED, ..Resources::default() }),
         };
         Attempt {
@@ -309,9 +318,9 @@
 
     /// Adds an attempt that was over when it was first reported.
     ///
-    /// That this attempt is over does not say where its task is: the former leader may have read the same, started the
-    /// task on another machine, and lost only the answer that has this machine forget the attempt. A task that may
-    /// still be running on another machine therefore remains to be found.
+    /// Unless the attempt completed its task, the task may still be running elsewhere: the former leader may have
+    /// received the same report and started the task on another machine, while its answer that makes this machine
+    /// forget the attempt was lost. A task that may be running on another machine therefore stays unreconciled.
     fn adopt_ended_attempt(
         &mut self,
         machine_id: &MachineId,
@@ -323,7 +332,7 @@
         let job = self.job_of(&status.task);
         let settles_task = exit == Exit::Done || job.is_none_or(|job| !self.recovery.may_be_running(&job.spec));
         if self.is_wanted(&status.task) && settles_task {
-            // The attempt is counted as running for a moment, so that its end is recorded like any other.
+            // The attempt is first placed as running, so that its end is recorded like that of any other attempt.
             self.place(machine_id, status.attempt, Attempt { state: None, ..attempt });
             self.finish_attempt(machine_id, status.attempt, AttemptOutcome::Exited(exit), now);
         } else if let Some(machine) = self.machines.get_mut(machine_id) {
@@ -332,12 +341,12 @@
         self.set_attempt_state(machine_id, status);
     }
 
-    /// Whether a task exists, is not done and has no attempt that runs.
+    /// Returns `true` if the task exists and is neither done nor running.
     fn is_wanted(&self, task: &TaskId) -> bool {
         self.job_of(task).is_some_and(|job| job.progress.is_wanted(task.task.0))
     }
 
-    /// Returns the job of a task, unless the job is unknown or has no such task.
+    /// Returns the job of a task. `None` if the job is unknown or has no task of that number.
     fn job_of(&self, task: &TaskId) -> Option<&Job> {
         self.jobs.get(&task.job).filter(|job| task.task.0 < job.spec.tasks)
     }
--- a/src/coordination/shard/job.rs
+++ b/src/coordination/shard/job.rs
@@ -1,4 +1,4 @@
-//! One job that is queued or running, as its shard's leader keeps it in memory.
+//! In-memory state of one queued or running job on its shard's leader.
 
 use super::super::events::Requester;
 use super::LOOKAHEAD;
@@ -12,87 +12,90 @@
 use crowstall_dependencies::Urgency;
 use std::collections::BTreeMap;
 
-/// The shortest run time that is expected of a task, in seconds.
+/// Lower bound of the expected run time of a task, in seconds.
 const MIN_RUN_TIME_S: f64 = 1.0;
 
-/// A job that is queued or running.
+/// State of a job that is queued or running.
 pub(in crate::coordination) struct Job {
-    /// What its owner submitted.
+    /// Specification that the owner of the job submitted.
     pub spec: JobSpec,
-    /// When the job was accepted, by the time of day, in milliseconds.
+    /// Wall-clock time at which the job was accepted, in milliseconds since 1970.
     pub accepted_ms: u64,
-    /// Since when the job could run: when it was accepted, or when the last of its prerequisites was done. By the
-    /// time of day, in milliseconds.
+    /// Wall-clock time from which the job could run, in milliseconds since 1970: its acceptance, or the end of its last
+    /// prerequisite.
     pub ready_ms: u64,
-    /// The urgency that the job inherits from the jobs that depend on it, if there are any.
+    /// Urgency that the job inherits from the jobs that depend on it. `None` if there are none.
     pub inherited_urgency: Option<Urgency>,
-    /// The job's place among jobs of equal urgency.
+    /// Position of the job among jobs of equal urgency.
     pub order: QueueOrder,
-    /// Which of the job's tasks wait, run and have completed.
+    /// Pending, running and completed tasks of the job.
     pub progress: JobProgress,
-    /// How the job's record in the state service stands.
+    /// State of the job's record in the state service.
     pub record: JobRecordState,
-    /// The job's failed attempts.
+    /// Failed attempts of the job.
     pub failures: FailureHistory,
-    /// How the job ends. Set once its user has asked to cancel it or all its tasks are done; no task is started from
-    /// then on.
+    /// Final state that the job is about to enter. Set once a user has requested cancellation or all tasks are done; no
+    /// task is started from then on.
     pub ending: Option<FinalState>,
-    /// The requesters that wait for a reply to their request to cancel the job.
+    /// Requesters that wait for a reply to their request to cancel the job.
     pub cancel_requesters: Vec<Requester>,
-    /// How long the next task of the job has waited.
+    /// Waiting time of the job's next task, and the machine that is reserved for it.
     pub waiting: WaitingTimes,
-    /// The run times of the tasks that completed under this leader.
+    /// Run times of the tasks that completed under this leader.
     pub observed_runtimes: ObservedRuntimes,
-    /// What is known of the progress of the job's attempts, and the run time that was learned from earlier jobs.
+    /// Saved progress of the job's tasks, and the run time that the forecast learned from earlier jobs.
     pub runtimes: TaskRuntimes,
 }
 
-/// The order of jobs of equal urgency: by the time at which they were ready, then by id.
+/// Sort key of jobs of equal urgency: the time from which the job could run, then its id.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 pub(in crate::coordination) struct QueueOrder {
     ready_ms: u64,
-    /// The id of the job.
+    /// Id of the job.
     pub job: JobId,
 }
 
-/// Which tasks of a job wait, run and have completed. Each task is in at most one of the sets.
+/// Pending, unreconciled, running and completed tasks of a job. Each task is in at most one of the sets.
 pub(in crate::coordination) struct JobProgress {
     /// Tasks that may be started.
     pub pending: RangeSet,
-    /// Tasks that a former leader may have started and that were not found yet.
+    /// Tasks that a former leader may have started and that have not been found on a machine yet. They may not be
+    /// started again before that is ruled out.
     pub unreconciled: RangeSet,
     /// Tasks that have completed.
     pub done: RangeSet,
-    /// For each task that runs or was ordered to run, its current attempt.
+    /// Current attempt of each task that runs or was sent to a machine to run.
     pub running: BTreeMap<u32, AttemptLocation>,
 }
 
-/// An attempt and the machine that it was placed on.
+/// Identity of an attempt: its number and the machine on which it was placed.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(in crate::coordination) struct AttemptLocation {
-    /// The machine.
+    /// Machine of the attempt.
     pub machine: MachineId,
-    /// The number of the attempt.
+    /// Number of the attempt.
     pub attempt: AttemptNumber,
 }
 
-/// How long the next task of a job has waited.
+/// Waiting time of a job's next task, and the machine that is reserved for it.
 pub(in crate::coordination) struct WaitingTimes {
-    /// Since when its first pending task has been passed over while tasks of other jobs were started.
+    /// Time from which the job's first pending task has been passed over in favour of other jobs' tasks. `None` if it
+    /// has not been passed over.
     pub skipped_since: Option<Time>,
-    /// Since when the job has had pending tasks.
+    /// Time from which the job has had pending tasks without a break.
     pub waiting_since: Time,
-    /// The machine that is reserved for the job's next task, since that task has waited too long.
+    /// Machine that is reserved for the job's next task because that task has waited too long.
     pub reserved: Option<Reservation>,
 }
 
-/// A machine that gets no tasks of other jobs until it has room for the next task of one.
+/// Reservation of a machine for a job's next task. The machine gets no tasks of other jobs until it has room for that
+/// task.
 pub(in crate::coordination) struct Reservation {
     machine: MachineId,
     since: Time,
 }
 
-/// The run times of the tasks of a job that have completed.
+/// Sum and number of the run times of a job's completed tasks.
 #[derive(Default)]
 pub(in crate::coordination) struct ObservedRuntimes {
     sum_s: f64,
@@ -100,7 +103,7 @@
 }
 
 impl JobProgress {
-    /// The progress of a job of which nothing has been started.
+    /// Creates the progress of a job of which no task has been started.
     pub fn not_started(tasks: u32) -> JobProgress {
         JobProgress {
             pending: RangeSet::up_to(tasks),
@@ -110,7 +113,8 @@
         }
     }
 
-    /// The progress that a record shows. Tasks below the start watermark that are not done may be running somewhere.
+    /// Creates the progress that a job's record shows. Tasks below the start watermark that are not done may be running
+    /// on any machine, and are unreconciled.
     pub fn of_record(record: &LiveRecord) -> JobProgress {
         let tasks = record.job.tasks;
         let start_watermark = record.start_watermark.min(tasks);
@@ -126,31 +130,31 @@
         JobProgress { pending, unreconciled, done, running: BTreeMap::new() }
     }
 
-    /// Whether an attempt is the current attempt of its task.
+    /// Returns `true` if the attempt is the current attempt of the task.
     pub fn is_current(&self, task: &TaskId, attempt: AttemptNumber) -> bool {
         self.running.get(&task.task.0).is_some_and(|location| location.attempt == attempt)
     }
 
-    /// Whether a task is neither done nor running.
+    /// Returns `true` if the task is neither done nor running.
     pub fn is_wanted(&self, task: u32) -> bool {
         !self.done.contains(task) && !self.running.contains_key(&task)
     }
 
-    /// An attempt of a task was placed on a machine or found there.
+    /// Records that an attempt of a task was placed on a machine or found there.
     pub(super) fn started(&mut self, task: u32, location: AttemptLocation) {
         self.pending.remove(task);
         self.unreconciled.remove(task);
         self.running.insert(task, location);
     }
 
-    /// A task has completed.
+    /// Records that a task has completed.
     pub(super) fn completed(&mut self, task: u32) {
         self.done.insert(task);
         self.pending.remove(task);
         self.unreconciled.remove(task);
     }
 
-    /// The tasks that were not found can't be running anywhere and may be started.
+    /// Makes all unreconciled tasks pending, since they can't be running on any machine.
     pub(super) fn release_unreconciled(&mut self) {
         for task in std::mem::take(&mut self.unreconciled).iter() {
             self.pending.insert(task);
@@ -163,15 +167,15 @@
         WaitingTimes { skipped_since: None, waiting_since, reserved: None }
     }
 
-    /// Whether the machine may be reserved for the job's next task: one machine at a time, and none for longer than
-    /// `max_reservation` while others are free.
+    /// Returns `true` if the machine may be reserved for the job's next task. Only one machine is reserved at a time;
+    /// another machine may replace it once the reservation is older than `max_reservation`.
     pub fn may_reserve(&self, machine: &MachineId, max_reservation: Span, now: Time) -> bool {
         self.reserved
             .as_ref()
             .is_none_or(|reservation| reservation.machine == *machine || now.since(reservation.since) > max_reservation)
     }
 
-    /// Reserves a machine for the job's next task. A reservation of the same machine stays as it is.
+    /// Reserves a machine for the job's next task. An existing reservation of the same machine keeps its start time.
     pub fn reserve(&mut self, machine: &MachineId, now: Time) {
         if self.reserved.as_ref().is_none_or(|reservation| reservation.machine != *machine) {
             self.reserved = Some(Reservation { machine: machine.clone(), since: now });
@@ -180,20 +184,20 @@
 }
 
 impl ObservedRuntimes {
-    /// Adds the run time of a task that completed.
+    /// Adds the run time of a completed task.
     pub(super) fn add(&mut self, seconds: f64) {
         self.sum_s += seconds;
         self.count += 1;
     }
 
-    /// The mean run time in seconds. The user's estimate counts as one more observation.
+    /// Returns the mean run time in seconds. The user's estimate counts as one more observation.
     fn mean_s(&self, estimate_s: f64) -> f64 {
         if self.count > 0 { (self.sum_s + estimate_s) / (self.count as f64 + 1.0) } else { estimate_s }
     }
 }
 
 impl Job {
-    /// Creates a job as its record of the given version describes it, with the given progress.
+    /// Creates a job from its record of the given version, with the given progress.
     pub fn new(
         record: LiveRecord,
         version: Revision,
@@ -219,21 +223,21 @@
         }
     }
 
-    /// Whether the job is an array all of whose tasks have completed.
+    /// Returns `true` if the job is an array all of whose tasks have completed.
     pub fn is_complete(&self) -> bool {
         self.spec.kind == JobKind::Array && self.progress.done.len() == self.spec.tasks
     }
 
-    /// The job's own priority, or that of a job that depends on it if that is higher.
+    /// Returns the job's effective priority: the higher of its own priority and the inherited one.
     pub fn priority(&self) -> Priority {
         self.inherited_urgency
             .map_or(self.spec.priority, |inherited_urgency| inherited_urgency.priority.min(self.spec.priority))
     }
 
-    /// The priority by which the job is placed in the queue.
+    /// Returns the priority that determines the job's position in the queue.
     ///
-    /// A priority that is only inherited counts as one level lower. Otherwise whole arrays that are due soon would go
-    /// before services, which never are due, and keep everything of the next priority waiting.
+    /// A priority that is only inherited counts as one level lower. Otherwise entire arrays with a near due time would
+    /// be served before services, which have no due time, and would block all jobs of the next priority.
     pub fn rank(&self) -> Priority {
         match self.priority() {
             same if same == self.spec.priority => same,
@@ -241,12 +245,14 @@
         }
     }
 
-    /// Whether tasks of the job may be started as far as its record is concerned.
+    /// Returns `true` if the state of the job's record allows tasks to be started: the job is not ending, and no write
+    /// of the record is in doubt.
     pub fn is_live(&self) -> bool {
         self.ending.is_none() && !self.record.outcome_unknown
     }
 
-    /// The run time to expect of a task, in seconds: as learned, else as observed so far, else as estimated.
+    /// Returns the expected run time of a task in seconds: the learned one if there is one, else the mean of the
+    /// observed ones and the estimate, else the estimate. At least [`MIN_RUN_TIME_S`].
     pub fn run_time(&self) -> f64 {
         let seconds = match self.runtimes.expected {
             Some(expected) => expected.as_secs(),
@@ -255,8 +261,12 @@
         seconds.max(MIN_RUN_TIME_S)
     }
 
-    /// The start watermark that the record should have: ahead of the queue, so that no start has to wait for the
-    /// record, but not far, since after a failover all tasks below the watermark have to be looked for.
+    /// Returns the start watermark that the record should have.
+    ///
+    /// The watermark is ahead of the next pending task, so that no start has to wait for a write of the record, but not
+    /// far, since after a failover all tasks below the watermark have to be searched for. Once the next pending task is
+    /// within half of [`LOOKAHEAD`] of the recorded watermark, the watermark rises to twice `LOOKAHEAD` beyond that
+    /// task.
     pub fn wanted_start_watermark(&self) -> u32 {
         match self.progress.pending.first() {
             Some(next) if next + LOOKAHEAD / 2 >= self.record.start_watermark => {
@@ -266,12 +276,13 @@
         }
     }
 
-    /// Whether the next task of the job can't be started before the record allows it.
+    /// Returns `true` if the next pending task can't be started before a write of the record raises the start
+    /// watermark.
     pub fn is_held_back_by_record(&self) -> bool {
         self.progress.pending.first().is_some_and(|next| next >= self.record.start_watermark)
     }
 
-    /// Whether there is progress to write to the job's record.
+    /// Returns `true` if there is progress to write to the job's record.
     pub fn has_unrecorded_progress(&self) -> bool {
         if self.record.size == RecordSize::TooLarge {
             return false;
--- a/src/coordination/shard/machine.rs
+++ b/src/coordination/shard/machine.rs
@@ -1,4 +1,4 @@
-//! One machine of a shard and the attempts on it, as the shard's leader keeps them in memory.
+//! In-memory state of one machine and its attempts on the leader of the machine's shard.
 
 use super::AttemptProgress;
 use super::Job;
@@ -14,147 +14,155 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::net::SocketAddrV4;
 
-/// Safety margin on the time by which a worker lease has surely expired.
+/// Safety margin that is added to the end of a worker lease before the lease counts as expired.
 pub(in crate::coordination) const WORKER_LEASE_MARGIN: Span = Span::millis(500);
 
-/// From how many jobs' tasks failing on a machine the machine is thought to be faulty.
+/// Minimum number of jobs with failed tasks on a machine for the machine to be quarantined.
 const MIN_FAILED_JOBS_FOR_QUARANTINE: usize = 2;
 
-/// How long a machine that is thought to be faulty gets no tasks, if it can't be returned.
+/// Duration of a quarantine: a machine that is probably faulty gets no tasks for this long, unless it is returned to
+/// the cloud before.
 const QUARANTINE_PERIOD: Span = Span::millis(180_000);
 
-/// The place of a heartbeat among the heartbeats of its machine.
+/// Position of a heartbeat in the sequence of its machine's heartbeats. Compares by epoch first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(in crate::coordination) struct HeartbeatNumber {
-    /// The agent epoch in which the heartbeat was sent.
+    /// Agent epoch in which the heartbeat was sent.
     pub epoch: AgentEpoch,
-    /// The number of the heartbeat within the epoch.
+    /// Sequence number of the heartbeat within the epoch.
     pub seq: SequenceNumber,
 }
 
-/// An attempt of a task on a machine.
+/// Attempt to run a task on a machine.
 pub(in crate::coordination) struct Attempt {
-    /// The task.
+    /// Task of the attempt.
     pub task: TaskId,
-    /// The team of the task's job. Empty if the job is unknown.
+    /// Team of the task's job. Empty if the job is unknown.
     pub team: Name,
-    /// The resources that the attempt uses.
+    /// Resources that the attempt uses.
     pub needs: Resources,
-    /// The state that the machine last reported, if it has reported the attempt.
+    /// State that the machine last reported. `None` if the machine has not reported the attempt yet.
     pub state: Option<TaskState>,
-    /// The heartbeat in whose answer the attempt was sent, or in which it was found.
+    /// Heartbeat in whose answer the attempt was sent, or which first reported it.
     pub sent_in: HeartbeatNumber,
-    /// When the attempt was first reported to be running.
+    /// Time at which the attempt was first reported to be running. `None` if it was not yet.
     pub running_since: Option<Time>,
-    /// How far the attempt has got.
+    /// Observed progress of the attempt, for runtime samples.
     pub progress: AttemptProgress,
-    /// Set if the attempt is to be stopped: how many seconds it has to save its progress.
+    /// Time in seconds that the attempt has to save its progress before it is stopped. `None` if it is not to be
+    /// stopped.
     pub stop: Option<f64>,
 }
 
-/// A machine that is up.
+/// State of a machine that is up.
 pub(in crate::coordination) struct Machine {
-    /// The name of the machine's type.
+    /// Name of the machine's type.
     pub kind: Name,
-    /// The zone that the machine is in.
+    /// Zone of the machine.
     pub zone: Name,
-    /// Whether the machine is a spot machine.
+    /// `true` for a spot machine.
     pub spot: bool,
-    /// Where the worker receives direct calls.
+    /// Address at which the machine's worker accepts direct calls.
     pub addr: SocketAddrV4,
-    /// The version of the machine's record.
+    /// Version of the machine's record.
     pub version: Revision,
-    /// The fencing token under which the machine gets commands.
+    /// Fencing token that commands to the machine carry.
     pub token: FencingToken,
-    /// The newest heartbeat that was handled.
+    /// Number of the newest heartbeat that was handled.
     pub last_heartbeat: HeartbeatNumber,
-    /// When a heartbeat of the machine was last answered with 200: its worker lease runs from no later than that.
+    /// Time at which a heartbeat of the machine was last answered with 200. The worker lease starts no later than that.
+    /// `None` if this leader has not answered any.
     pub answered: Option<Time>,
-    /// Whether it is known what runs on the machine: it has sent a heartbeat under the present token, or can't have
-    /// had any task before.
+    /// `true` if all attempts on the machine are known: it has sent a heartbeat under the current fencing token, or no
+    /// attempt can have been running on it before.
     pub reconciled: bool,
-    /// Detects that the machine does not receive its answers.
+    /// Detector of a one-way partition in which the machine's heartbeats arrive, but the answers to them do not.
     pub answer_loss: AnswerLossDetector,
-    /// Whether the machine gets no tasks because it does not receive its answers while most other machines do.
+    /// `true` if the machine gets no tasks because it does not receive the answers to its heartbeats, while most other
+    /// machines do.
     pub loses_answers: bool,
-    /// For a machine that is not reconciled: by when a worker lease that a former leader granted has surely expired.
+    /// Time by which every worker lease granted by a former leader has surely expired. Used only while the machine is
+    /// not reconciled.
     pub reconciled_by: Time,
-    /// The attempts on the machine.
+    /// Attempts on the machine, with those that are over and not forgotten yet.
     pub attempts: BTreeMap<AttemptNumber, Attempt>,
-    /// When the cloud will take the machine away, if it has announced that.
+    /// Time at which the cloud will reclaim the machine. `None` if no reclaim was announced.
     pub notice: Option<Time>,
-    /// Since when no attempt has been running on the machine.
+    /// Time from which no attempt has been running on the machine. Of no meaning while one is running.
     pub idle_since: Time,
-    /// When the machine was last heard from.
+    /// Time at which a message from the machine last arrived.
     pub seen: Time,
-    /// Whether the machine gets no more tasks.
+    /// `true` if the machine is drained: it gets no more tasks.
     pub draining: bool,
-    /// The shard that the machine is being transferred to. Until the outcome is known no task is started on it.
+    /// Shard to which the machine is being transferred. While the outcome of the transfer is in doubt, no task is
+    /// started on the machine.
     pub moving_to: Option<ShardId>,
-    /// Whether the deletion of the machine was requested; from then on nothing is sent to it.
+    /// `true` once the machine is to be deleted; from then on nothing is sent to it.
     pub deleting: bool,
-    /// The jobs of which a task failed on the machine and is held against it.
+    /// Jobs with a failed task on the machine that counts towards a quarantine.
     failed_jobs: BTreeSet<JobId>,
-    /// Until when the machine gets no tasks because it is thought to be faulty.
+    /// End of the machine's quarantine. The machine gets no tasks before this time.
     pub quarantined_until: Time,
-    /// The images that the machine is thought to have in its cache, the newest last.
+    /// Images that are probably in the machine's cache, the most recently used last.
     images: Vec<CachedImage>,
-    /// Whether a direct call to the machine is in flight that checks whether it is alive.
+    /// `true` while a direct call is in flight that probes whether the machine is alive.
     pub probing: bool,
-    /// When a heartbeat of the machine was last relayed by another controller.
+    /// Time at which another controller last relayed a heartbeat of the machine. `None` if none was relayed.
     pub relayed_at: Option<Time>,
-    /// How many direct calls the machine has left unanswered since it was last heard from.
+    /// Number of direct calls without an answer since the machine was last heard from.
     pub unanswered: u32,
-    /// Whether the cloud has listed the machine, so that it can be returned.
+    /// `true` once the cloud's machine list has contained the machine, so that the machine can be returned.
     pub listed: bool,
 }
 
-/// An image in the cache of a machine.
+/// Image in the cache of a machine.
 struct CachedImage {
     name: Name,
     size_gb: f64,
 }
 
 impl HeartbeatNumber {
-    /// The number before that of any heartbeat.
+    /// Number that is less than that of any heartbeat.
     const NONE: HeartbeatNumber = HeartbeatNumber::before_epoch(AgentEpoch(0));
 
-    /// The number of a heartbeat.
+    /// Returns the number of a heartbeat.
     pub fn of(heartbeat: &WorkerHeartbeat) -> HeartbeatNumber {
         HeartbeatNumber { epoch: heartbeat.epoch, seq: heartbeat.seq }
     }
 
-    /// The number before that of the first heartbeat of an epoch.
+    /// Returns a number that is less than that of the first heartbeat of `epoch` and greater than those of earlier
+    /// epochs.
     pub const fn before_epoch(epoch: AgentEpoch) -> HeartbeatNumber {
         HeartbeatNumber { epoch, seq: SequenceNumber(0) }
     }
 }
 
 impl Attempt {
-    /// Whether the machine has reported the end of the attempt.
+    /// Returns `true` if the machine has reported the end of the attempt.
     pub fn is_over(&self) -> bool {
         matches!(self.state, Some(TaskState::Exited(_)))
     }
 
-    /// Whether the attempt is to be stopped, and how many seconds it has to save its progress.
+    /// Returns the time in seconds that the attempt has to save its progress before it is stopped. `None` if it is not
+    /// to be stopped.
     ///
-    /// An attempt of a job that its user has asked to cancel is stopped whether or not the cancellation is recorded:
-    /// the commit may have no answer, another controller may have read the final record and replied with it, and the
-    /// time within which the tasks must stop runs from then on, however long this controller goes on without the
-    /// state service.
+    /// An attempt of a job whose cancellation was requested is stopped before the cancellation is known to be recorded.
+    /// The answer to the commit may be lost while another controller reads the final record and reports it to users.
+    /// The time within which the tasks must stop runs from that report, even if this controller can't reach the state
+    /// service to learn of the outcome.
     pub fn stop_within(&self, jobs: &HashMap<JobId, Job>) -> Option<f64> {
         let cancelled = jobs.get(&self.task.job).is_some_and(|job| job.ending == Some(FinalState::Cancelled));
         if cancelled { Some(0.0) } else { self.stop }
     }
 
-    /// Whether the job of the attempt is not known, and so neither is its team.
+    /// Returns `true` if the job of the attempt, and with it the team, is unknown.
     pub fn is_of_unknown_job(&self) -> bool {
         self.team.as_str().is_empty()
     }
 }
 
 impl Machine {
-    /// Creates a machine as its record of the given version describes it, with nothing known of its attempts.
+    /// Creates an unreconciled machine without known attempts from its record of the given version.
     pub(super) fn new(
         record: &MachineRecord,
         addr: SocketAddrV4,
@@ -192,40 +200,40 @@
         }
     }
 
-    /// From when on no attempt that was ever started on the machine can still be running, unless another leader has
-    /// renewed the worker lease.
+    /// Returns the time after which no attempt on the machine can still be running, unless another leader has renewed
+    /// the worker lease.
     pub fn worker_lease_end(&self, worker_lease: Span) -> Time {
         let end = self.answered.map_or(Time::ZERO, |at| at + worker_lease.stretched() + WORKER_LEASE_MARGIN);
         if self.reconciled { end } else { end.max(self.reconciled_by) }
     }
 
-    /// Whether no attempt that was ever started on the machine can still be running.
+    /// Returns `true` if no attempt on the machine can still be running.
     ///
-    /// That the worker lease has ended counts only once this leadership term was confirmed after its end: a leader
-    /// that replaced this node before may have renewed the lease.
+    /// The end of the worker lease counts only once this leadership term has been confirmed after it. Otherwise a
+    /// leader that has replaced this node may have renewed the lease.
     pub fn surely_dead(&self, now: Time, worker_lease: Span, leader_lease: &LeaderLease) -> bool {
         let end = self.worker_lease_end(worker_lease);
         now > end && leader_lease.confirmed_since(end)
     }
 
-    /// The resources of all attempts that are not over.
+    /// Returns the resources of all attempts that are not over.
     pub fn used(&self) -> Resources {
         let live = self.attempts.values().filter(|attempt| !attempt.is_over());
         live.fold(Resources::default(), |sum, attempt| sum.plus(&attempt.needs))
     }
 
-    /// The resources of all attempts that are not over and not to be stopped.
+    /// Returns the resources of all attempts that are neither over nor to be stopped.
     pub fn committed_resources(&self) -> Resources {
         let live = self.attempts.values().filter(|attempt| !attempt.is_over() && attempt.stop.is_none());
         live.fold(Resources::default(), |sum, attempt| sum.plus(&attempt.needs))
     }
 
-    /// Whether all attempts on the machine are over.
+    /// Returns `true` if all attempts on the machine are over.
     pub fn is_empty(&self) -> bool {
         self.attempts.values().all(Attempt::is_over)
     }
 
-    /// Whether tasks may be placed on the machine.
+    /// Returns `true` if tasks may be placed on the machine.
     pub fn accepts_tasks(&self, now: Time) -> bool {
         self.reconciled
             && !self.loses_answers
@@ -235,7 +243,8 @@
             && now >= self.quarantined_until
     }
 
-    /// Returns what a newer heartbeat shows of the answer to the heartbeat before it.
+    /// Returns the evidence in a newer heartbeat that the machine did or did not receive the previous answer: attempts
+    /// that were sent in it, or else a newer fencing token.
     pub fn answer_evidence(&self, heartbeat: &WorkerHeartbeat) -> AnswerEvidence {
         let just_sent = |attempt: &Attempt| attempt.state.is_none() && attempt.sent_in == self.last_heartbeat;
         let mut sent = self.attempts.iter().filter(|(_, attempt)| just_sent(attempt)).map(|(no, _)| no).peekable();
@@ -250,12 +259,13 @@
         if sent.any(|no| reported.contains(no)) { AnswerEvidence::Received } else { AnswerEvidence::Missing }
     }
 
-    /// Whether the machine is thought to have an image in its cache.
+    /// Returns `true` if the image is probably in the machine's cache.
     pub fn has_image(&self, image: &Name) -> bool {
         self.images.iter().any(|cached| cached.name == *image)
     }
 
-    /// Records that the machine fetches an image. The oldest images are evicted when the cache is full.
+    /// Records that the machine fetches or uses an image of `size_gb`. The least recently used images are evicted while
+    /// the cache exceeds `cache_gb`, but the new image always stays.
     pub fn record_image(&mut self, image: &Name, size_gb: f64, cache_gb: f64) {
         self.images.retain(|cached| cached.name != *image);
         self.images.push(CachedImage { name: image.clone(), size_gb });
@@ -264,7 +274,8 @@
         }
     }
 
-    /// Holds the failure of a task of a job against the machine. Returns whether the machine is quarantined for it.
+    /// Counts the failure of a job's task towards a quarantine of the machine. Returns `true` if this failure starts a
+    /// quarantine.
     pub(super) fn record_failed_job(&mut self, job: &JobId, now: Time) -> bool {
         self.failed_jobs.insert(job.clone());
         let becomes_quarantined =
@@ -275,12 +286,12 @@
         becomes_quarantined
     }
 
-    /// Holds no failure against the machine any more, since a task has completed on it. A quarantine stays.
+    /// Resets the count of failed jobs after a task has completed on the machine. A quarantine in progress continues.
     pub(super) fn clear_failed_jobs(&mut self) {
         self.failed_jobs.clear();
     }
 
-    /// Does not hold failures of a job against the machine any more, and ends a quarantine that rested on them.
+    /// Removes a job from the failed jobs, and ends the machine's quarantine if too few failed jobs remain for one.
     pub(super) fn clear_failed_job(&mut self, job: &JobId) {
         if self.failed_jobs.remove(job) && self.failed_jobs.len() < MIN_FAILED_JOBS_FOR_QUARANTINE {
             self.quarantined_until = Time::ZERO;
--- a/src/coordination/shard/mod.rs
+++ b/src/coordination/shard/mod.rs
@@ -1,4 +1,4 @@
-//! One shard as its leader keeps it in memory: its jobs, its machines, and which attempt runs on which machine.
+//! In-memory state of one shard on its leader: jobs, machines and the placement of attempts on machines.
 
 mod attempts;
 mod failure_history;
@@ -35,107 +35,109 @@
 use std::net::SocketAddrV4;
 use std::sync::Arc;
 
-/// More than any machine has, yet small enough to be added up many times without overflow.
+/// Quantity that exceeds the capacity of any machine, yet can be summed over all machines without overflow.
 const UNBOUNDED: Quantity = Quantity(u64::MAX >> 24);
 
-/// How many tasks beyond the ones already started the start watermark of a job's record allows.
+/// Number of tasks that the start watermark in a job's first record covers. Later records extend the watermark in
+/// proportion to this number, as described at [`Job::wanted_start_watermark`].
 pub(super) const LOOKAHEAD: u32 = 256;
 
-/// A machine whose last heartbeat is older than this is not offered to other shards.
+/// Maximum age of a machine's last heartbeat for the machine to be offered to other shards.
 const MAX_OFFERED_SILENCE: Span = Span::millis(4000);
 
-/// Answer loss is acted on only while at most one machine in so many loses its answers.
+/// Reciprocal of the largest fraction of machines that may be excluded from placement for answer loss: if more than one
+/// machine in this many loses its answers, none is excluded.
 const ANSWER_LOSS_MACHINES: usize = 4;
 
-/// One shard that this node leads.
+/// State of one shard that this node leads.
 pub(super) struct Shard {
-    /// The shard's number.
+    /// Number of the shard.
     pub id: ShardId,
-    /// The leadership term: the revision at which this node acquired leadership.
+    /// Leadership term: the revision at which this node acquired leadership.
     pub term: Revision,
-    /// Until when this node may act for the shard, and what it knows of deposed leaders.
+    /// Leader lease of this node, conditions for its first decision, and any overlap with a deposed leader.
     pub leadership: ShardLeadershipState,
-    /// How far the shard's records have been read.
+    /// Progress of reading the shard's records.
     pub loading: LoadingState,
-    /// Which machines have been reconciled since leadership was acquired.
+    /// Progress of the recovery since leadership was acquired, including the machines that are not reconciled yet.
     pub recovery: Recovery,
-    /// The jobs that are queued or running.
+    /// Jobs that are queued or running.
     pub jobs: HashMap<JobId, Job>,
-    /// The jobs that wait for prerequisites, of which nothing may be started yet.
+    /// Jobs that wait for prerequisites and may not start any task yet.
     pub dependencies: JobDependencies,
-    /// The machines that are up.
+    /// Machines that are up.
     pub machines: BTreeMap<MachineId, Machine>,
-    /// The machines that are still to come, are being transferred or are gone.
+    /// Machines that were requested or are booting, are being transferred, or are gone.
     pub fleet: FleetState,
-    /// The jobs with tasks to start, in the order in which they are served.
+    /// Jobs with pending tasks, in the order in which they are served.
     pub queue: JobQueue,
-    /// The resources that each team's attempts use. Attempts of unknown jobs are counted under the empty name.
+    /// Resources used by the attempts of each team. Attempts of unknown jobs are counted under the empty name.
     pub usage: HashMap<Name, Resources>,
-    /// The resources of the attempts that have ended since the leader lease expired, by team. None while the lease
-    /// is valid.
+    /// Resources of the attempts that have ended since the leader lease expired, by team. `None` while the lease is
+    /// valid.
     ended_without_lease: Option<HashMap<Name, Resources>>,
-    /// Jobs with tasks that a former leader may have started and that were not found yet.
+    /// Jobs with tasks that a former leader may have started and that have not been found on a machine yet.
     jobs_with_unreconciled_tasks: BTreeSet<JobId>,
-    /// Machines with attempts of unknown jobs, which count as full for every team.
+    /// Machines that run attempts of unknown jobs. Each counts as fully used by every team.
     machines_with_unknown_jobs: BTreeSet<MachineId>,
-    /// Job arrays whose last task has completed and whose final record is not being written yet.
+    /// Job arrays whose tasks have all completed and whose final record is not being written yet.
     pub finished: Vec<JobId>,
-    /// The runtime samples that have not been learned from yet, if forecasts are enabled.
+    /// Runtime samples that the forecast learner has not consumed yet. `None` if forecasts are disabled.
     pub runtime_samples: Option<RuntimeSamples>,
-    /// How many jobs and machines were inspected while heartbeats were handled.
+    /// Number of jobs and machines that were inspected while heartbeats were handled.
     pub inspections: Cell<u64>,
 }
 
-/// Until when a node may act as the leader of a shard.
+/// State of this node's leadership of a shard.
 pub(super) struct ShardLeadershipState {
-    /// Until when this node may decide and serve reads.
+    /// Lease that limits until when this node may make decisions and serve reads.
     pub leader_lease: LeaderLease,
-    /// When this node requested the release of its leadership, as long as the outcome is not known.
+    /// Time at which this node requested the release of its leadership, while the outcome of that request is in doubt.
     pub release_requested_at: Option<Time>,
-    /// Set while a deposed leader may not know that it was replaced.
+    /// Overlap with a deposed leader that may not know yet that it was replaced. `None` if there is none.
     pub overlap: Option<LeadershipOverlap>,
-    /// What must hold before the first decision of the term.
+    /// Conditions that must hold before the first decision of the term.
     pub checklist: ReadinessChecklist,
-    /// The time of day at which leadership was acquired, in milliseconds.
+    /// Wall-clock time at which leadership was acquired, in milliseconds since 1970.
     pub acquired_wall_ms: u64,
-    /// Whether the previous term was this node's own, of an earlier incarnation.
+    /// `true` if an earlier incarnation of this node led the shard in the previous term.
     pub reacquired: bool,
-    /// Whether all previous leaders went by the same quotas as this node.
+    /// `true` if all tasks that may still run were started under the quotas that this node applies.
     pub same_quotas: bool,
 }
 
-/// How far the records of a shard have been read.
+/// Progress of reading the records of a shard.
 #[derive(Default)]
 pub(super) struct LoadingState {
-    /// When the last of the records had been read.
+    /// Time at which the last record was read. `None` while records are still being read.
     pub read_at: Option<Time>,
-    /// Until when loading waits for the replica to be synced with the term.
+    /// Time until which loading waits for the local replica to be synced with the term. `None` if it does not wait.
     pub replica_wait_until: Option<Time>,
-    /// Whether reading failed and has to start again.
+    /// `true` if reading failed and has to start again.
     pub retry: bool,
-    /// Heartbeats that arrived while the records were being read.
+    /// Heartbeats that arrived while the records were being read. They are handled once the shard is served.
     pub early_heartbeats: Vec<EarlyHeartbeat>,
 }
 
-/// A heartbeat that arrived while the records of its machine's shard were being read.
+/// Heartbeat that arrived while the records of its machine's shard were being read.
 pub(super) struct EarlyHeartbeat {
-    /// Who waits for the reply.
+    /// Requester that waits for the reply.
     pub requester: Requester,
     /// The heartbeat.
     pub heartbeat: Box<WorkerHeartbeat>,
 }
 
-/// How an attempt ended.
+/// Outcome of an attempt.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(super) enum AttemptOutcome {
-    /// The worker reported the end of the attempt.
+    /// The worker reported that the attempt exited.
     Exited(Exit),
-    /// The attempt never started, or it is gone with its machine or with the worker's lease.
+    /// The attempt never started, or was lost with its machine or with the worker lease.
     Lost,
 }
 
 impl Shard {
-    /// Creates a shard of which nothing has been read yet.
+    /// Creates a shard whose records have not been read yet.
     pub fn new(leadership: LeadershipTerm, recovery: Recovery, late_factors: Arc<BTreeMap<Name, f64>>) -> Shard {
         let acquired_at = recovery.acquired_at();
         Shard {
@@ -172,21 +174,22 @@
         LeadershipTerm { shard: self.id, term: self.term }
     }
 
-    /// Whether the shard's records are in memory and requests are served.
+    /// Returns `true` if the shard's records are in memory and requests are served.
     pub fn is_active(&self) -> bool {
         self.recovery.is_loaded()
     }
 
-    /// Whether this node may decide about the shard, as far as it can know.
+    /// Returns `true` if this node may make decisions about the shard: its leader lease is valid and it has not
+    /// requested the release of its leadership.
     ///
-    /// It may not from the moment it has requested the release of its leadership: the answer may be lost, another
-    /// controller may acquire leadership at once, and that controller does not wait for a leader that has released
-    /// the shard.
+    /// A requested release ends the right to decide before its answer arrives. The answer may be lost, and another
+    /// controller may acquire leadership at once, without waiting for the lease of a leader that has released the
+    /// shard.
     pub fn may_decide(&self, now: Time) -> bool {
         self.leadership.release_requested_at.is_none() && self.leadership.leader_lease.may_decide(now)
     }
 
-    /// Discards what was read, so that the records can be read again from the beginning.
+    /// Discards all records that were read, so that loading can start again from the beginning.
     pub fn restart_loading(&mut self) {
         self.loading.retry = false;
         self.loading.read_at = None;
@@ -197,23 +200,28 @@
         self.recovery.restart_loading();
     }
 
-    /// Decides which machines get no tasks because their answers do not reach them.
+    /// Excludes machines that do not receive this leader's answers from placement, and readmits those that do again.
     ///
-    /// Where many machines lose their answers, the fault is more likely on this side, and no machine is excluded.
+    /// If more than one machine in [`ANSWER_LOSS_MACHINES`] loses its answers, the fault is more likely on the side of
+    /// this node, and no machine is excluded.
     pub fn update_answer_loss(&mut self) {
         let losing = self.machines.values().filter(|machine| machine.answer_loss.loss_since().is_some()).count();
         let few = losing <= self.machines.len().div_ceil(ANSWER_LOSS_MACHINES);
         for (id, machine) in &mut self.machines {
             let loses_answers = few && machine.answer_loss.loss_since().is_some();
             if machine.loses_answers != loses_answers {
-                let change = if loses_answers { "loses its answers" } else { "receives its answers again" };
-                log::info!("machine {id} {change}");
+                let change = if loses_answers {
+                    "does not receive the answers to its heartbeats; starting no tasks on it"
+                } else {
+                    "no longer excluded from placement for lost answers"
+                };
+                log::info!("machine {id}: {change}");
                 machine.loses_answers = loses_answers;
             }
         }
     }
 
-    /// Returns the idle machines that this shard does not need and other shards may have.
+    /// Returns the idle machines that this shard does not need and offers to other shards.
     pub fn offers(&self, now: Time) -> Vec<MachineOffer> {
         let offered = self.machines.iter().filter(|(id, machine)| {
             self.fleet.spare.contains(*id)
@@ -231,7 +239,8 @@
             .collect()
     }
 
-    /// Adds a job as its record describes it. Tasks below the start watermark may be running on some machine.
+    /// Adds a job from its record during loading. Tasks below the record's start watermark may be running on any
+    /// machine, started by a former leader.
     pub fn load_job(&mut self, record: LiveRecord, version: Revision) {
         if record.is_waiting() {
             return self.add_waiting_job(record, version);
@@ -241,7 +250,7 @@
         self.insert_job(record, version, progress, waiting_since);
     }
 
-    /// Adds a job of which nothing has been started.
+    /// Adds an accepted job of which no task has been started.
     pub fn accept_job(&mut self, record: LiveRecord, version: Revision, now: Time) {
         let progress = JobProgress::not_started(record.job.tasks);
         self.insert_job(record, version, progress, now);
@@ -263,13 +272,13 @@
         self.jobs.insert(id, job);
     }
 
-    /// Records whether this node's leader lease for the shard is valid now.
+    /// Records that this node's leader lease for the shard is valid (`holds_lease`) or not.
     ///
     /// While the lease is not valid, another controller may have acquired the shard. That controller counts the
-    /// attempts that it finds towards the teams' quotas, and takes the ends of attempts that it sees for free room.
-    /// Ends that are seen here therefore free no quota for starts from here: then what both controllers have running
-    /// together stays within what was running when the lease expired. If the lease becomes valid again, no other
-    /// controller led the shard in between.
+    /// attempts that it finds towards the teams' quotas, and reuses the quota of attempts whose end it observes.
+    /// Attempts whose end this node observes meanwhile therefore free no quota here; otherwise both controllers could
+    /// reuse the same quota, and together exceed the usage at the time when the lease expired. If the lease becomes
+    /// valid again, no other controller led the shard in between, and the quota is free.
     pub fn record_lease_state(&mut self, holds_lease: bool) {
         if holds_lease {
             self.ended_without_lease = None;
@@ -278,12 +287,13 @@
         }
     }
 
-    /// Counts jobs or machines that were inspected while a heartbeat was handled.
+    /// Adds to the number of jobs and machines that were inspected while heartbeats were handled.
     pub fn count_inspections(&self, count: usize) {
         self.inspections.set(self.inspections.get() + count as u64);
     }
 
-    /// Adds a machine that a former leader may have used. `size` is what the machine has room for.
+    /// Adds a machine that a former leader may have used. `size` is the capacity of the machine, `reconciled_by` the
+    /// time by which every worker lease granted by a former leader has surely expired.
     pub fn load_machine(
         &mut self,
         id: MachineId,
@@ -301,7 +311,7 @@
         self.machines.insert(id, machine);
     }
 
-    /// Adds a machine whose record was written in this leadership term.
+    /// Adds a machine whose record was written in this leadership term, so that no former leader has used it.
     pub fn add_machine(
         &mut self,
         id: MachineId,
@@ -316,7 +326,7 @@
         self.machines.insert(id, machine);
     }
 
-    /// Marks a machine as reconciled: its newest heartbeat was applied, or none of its attempts is left.
+    /// Marks a machine as reconciled, after its newest heartbeat was applied or all its attempts were removed.
     pub fn mark_reconciled(&mut self, id: &MachineId, now: Time) {
         if let Some(machine) = self.machines.get_mut(id)
             && !machine.reconciled
@@ -326,7 +336,7 @@
         }
     }
 
-    /// Removes a machine that is gone or belongs to another shard.
+    /// Removes and returns a machine that is gone or belongs to another shard.
     pub fn remove_machine(&mut self, id: &MachineId, now: Time) -> Option<Machine> {
         let machine = self.machines.remove(id)?;
         self.machines_with_unknown_jobs.remove(id);
@@ -336,15 +346,15 @@
         Some(machine)
     }
 
-    /// No attempt that this leader does not know of can be on the machine any more.
+    /// Records that no attempt unknown to this leader can be running on the machine any more.
     fn end_reconciliation_of(&mut self, id: &MachineId, now: Time) {
         if self.recovery.reconciled(id, now) {
             self.release_reconciled_tasks();
         }
     }
 
-    /// Makes tasks pending that were not found and can't be running on any machine any more. That is decided job by
-    /// job: a job's tasks are released as soon as no machine is left on which a former leader's attempt could be.
+    /// Makes unreconciled tasks pending if they can't be running on any machine any more. Each job is decided by
+    /// itself: its tasks are released as soon as no unreconciled machine is left that could run an attempt of them.
     pub fn release_reconciled_tasks(&mut self) {
         if self.jobs_with_unreconciled_tasks.is_empty() {
             return;
