--- a/src/coordination/job_persistence/end_of_job.rs
+++ b/src/coordination/job_persistence/end_of_job.rs
@@ -11,7 +11,7 @@
 
 /// Result of a request to write a final record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(in crate::coordination) enum EndWrite {
+pub(in crate::coordination) enum FinalRecordWrite {
     /// The write was sent.
     Sent,
     /// The job has no final record to write, or the write has to wait for another call or for the end of an overlap.
@@ -32,34 +32,34 @@
                 ready.push(id);
             }
         }
-        self.write_ends(shard_id, ready);
+        self.write_final_records(shard_id, ready);
     }
 
     /// Writes final records as far as the rate limits allow, ahead of any progress. Later ticks continue with the rest.
     ///
     /// Without the limit, if many small jobs ended at once, the state service would refuse most of the writes again and
     /// again, and all other calls along with them.
-    pub(super) fn write_ends(&mut self, shard_id: ShardId, ready: Vec<JobId>) {
+    pub(super) fn write_final_records(&mut self, shard_id: ShardId, ready: Vec<JobId>) {
         let now = self.now;
         for id in ready {
-            if self.write_end(shard_id, &id) == EndWrite::NotAdmitted {
+            if self.write_end(shard_id, &id) == FinalRecordWrite::NotAdmitted {
                 return;
             }
             if let Some(job) = self.job_mut(shard_id, &id) {
-                job.record.last_write = now;
+                job.record.last_call_at = now;
             }
         }
     }
 
     /// Writes the final record of a job that is ending, unless the write has to wait. A write that is not admitted is
     /// retried by a later tick.
-    pub(in crate::coordination) fn write_end(&mut self, shard_id: ShardId, id: &JobId) -> EndWrite {
-        let Some(state) = self.final_state_to_write(shard_id, id) else { return EndWrite::NotDue };
+    pub(in crate::coordination) fn write_end(&mut self, shard_id: ShardId, id: &JobId) -> FinalRecordWrite {
+        let Some(state) = self.final_state_to_write(shard_id, id) else { return FinalRecordWrite::NotDue };
         if !self.admits(TrafficClass::FinalRecord) {
-            return EndWrite::NotAdmitted;
+            return FinalRecordWrite::NotAdmitted;
         }
-        self.send_end(shard_id, id, state);
-        EndWrite::Sent
+        self.send_final_record(shard_id, id, state);
+        FinalRecordWrite::Sent
     }
 
     /// Returns the final state of a job that may be recorded now. `None` if the job is not ending, this node may not
@@ -82,21 +82,27 @@
         may_write.then_some(state)
     }
 
-    fn send_end(&mut self, shard_id: ShardId, id: &JobId, state: FinalState) {
+    fn send_final_record(&mut self, shard_id: ShardId, id: &JobId, state: FinalState) {
         let Some(shard) = self.shards.get_mut(&shard_id) else { return };
         let leadership = shard.leadership_term();
         let Some(job) = shard.jobs.get_mut(id) else { return };
         job.record.call_in_flight = true;
-        job.record.refused = false;
+        job.record.write_refused = false;
         let end = EndRecord { state, done: job.progress.done.len(), cause: None };
         let request = final_record_request(leadership, id, job.record.version, &end);
         if state == FinalState::Cancelled {
             self.mark_cancellation_in_doubt(id);
         }
-        self.call_for_job(leadership, id, request, JobRecordOperation::WriteEnd(state));
+        self.call_for_job(leadership, id, request, JobRecordOperation::WriteFinal(state));
     }
 
-    pub(super) fn end_answered(&mut self, shard_id: ShardId, id: &JobId, state: FinalState, answer: StateResult) {
+    pub(super) fn final_write_answered(
+        &mut self,
+        shard_id: ShardId,
+        id: &JobId,
+        state: FinalState,
+        answer: StateResult,
+    ) {
         match answer {
             Ok(StateAnswer::Committed(_)) => self.job_ended(shard_id, id, state),
             Err(CallError::Refused { .. }) => self.job_write_refused(shard_id, id),
--- a/src/coordination/job_persistence/mod.rs
+++ b/src/coordination/job_persistence/mod.rs
@@ -18,11 +18,11 @@
     /// Writes the progress of a live job.
     WriteProgress(RecordedProgress),
     /// Replaces the live record with the final record of this state.
-    WriteEnd(FinalState),
+    WriteFinal(FinalState),
     /// Reads the live record, since the outcome of a call is in doubt.
     ReadLive,
     /// Reads the final record, since the live record no longer exists.
-    ReadEnd,
+    ReadFinal,
 }
 
 /// Call to the state service that concerns the record of one job.
@@ -40,7 +40,7 @@
     pub fn traffic_class(&self) -> TrafficClass {
         match self.operation {
             JobRecordOperation::WriteProgress(_) => TrafficClass::Progress,
-            JobRecordOperation::WriteEnd(_) | JobRecordOperation::ReadLive | JobRecordOperation::ReadEnd => {
+            JobRecordOperation::WriteFinal(_) | JobRecordOperation::ReadLive | JobRecordOperation::ReadFinal => {
                 TrafficClass::FinalRecord
             }
         }
@@ -50,7 +50,7 @@
 /// Jobs of a shard whose records have to be read or written. Each list is in the order in which the calls are sent.
 struct DueRecords {
     /// Jobs with a call whose outcome is in doubt.
-    unknown: Vec<JobId>,
+    in_doubt: Vec<JobId>,
     /// Jobs whose final record has to be written.
     ending: Vec<JobId>,
     /// Jobs with unrecorded progress. Those that can't start tasks before the write come first.
@@ -59,22 +59,22 @@
 
 impl DueRecords {
     fn of<'a>(jobs: impl Iterator<Item = &'a Job>, interval: Span, now: Time) -> DueRecords {
-        let (mut unknown, mut ending, mut progressed) = (Vec::new(), Vec::new(), Vec::new());
+        let (mut in_doubt, mut ending, mut progressed) = (Vec::new(), Vec::new(), Vec::new());
         for job in jobs.filter(|job| !job.record.must_wait(job.ending.is_some(), interval, now)) {
             let id = job.spec.id.clone();
             if job.record.outcome_unknown {
-                unknown.push(id);
+                in_doubt.push(id);
             } else if job.ending.is_some() {
                 ending.push((&job.order, id));
             } else if job.has_unrecorded_progress() {
-                progressed.push((!job.is_held_back_by_record(), job.record.last_write, id));
+                progressed.push((!job.is_held_back_by_record(), job.record.last_call_at, id));
             }
         }
-        unknown.sort();
+        in_doubt.sort();
         ending.sort();
         progressed.sort();
         DueRecords {
-            unknown,
+            in_doubt,
             ending: ending.into_iter().map(|(_, id)| id).collect(),
             progressed: progressed.into_iter().map(|(_, _, id)| id).collect(),
         }
@@ -87,9 +87,9 @@
         for shard_id in self.decidable_shards() {
             let Some(shard) = self.shards.get(&shard_id) else { continue };
             let due = DueRecords::of(shard.jobs.values(), self.settings.properties.progress_interval, self.now);
-            self.read_records(shard_id, due.unknown);
+            self.read_records(shard_id, due.in_doubt);
             self.dependencies_tick(shard_id);
-            self.write_ends(shard_id, due.ending);
+            self.write_final_records(shard_id, due.ending);
             self.remove_stale_machine_records(shard_id);
             self.write_progress_of(shard_id, due.progressed);
         }
@@ -117,9 +117,9 @@
         }
         match operation {
             JobRecordOperation::WriteProgress(progress) => self.progress_answered(shard_id, &id, progress, answer),
-            JobRecordOperation::WriteEnd(state) => self.end_answered(shard_id, &id, state, answer),
+            JobRecordOperation::WriteFinal(state) => self.final_write_answered(shard_id, &id, state, answer),
             JobRecordOperation::ReadLive => self.live_record_answered(leadership, &id, answer),
-            JobRecordOperation::ReadEnd => self.end_record_answered(shard_id, &id, answer),
+            JobRecordOperation::ReadFinal => self.final_read_answered(shard_id, &id, answer),
         }
     }
 
@@ -127,7 +127,7 @@
     /// tick. If the job is ending, its cancellation requesters get a busy reply.
     fn job_write_refused(&mut self, shard_id: ShardId, id: &JobId) {
         let Some(job) = self.job_mut(shard_id, id) else { return };
-        job.record.refused = true;
+        job.record.write_refused = true;
         if job.ending.is_none() {
             return;
         }
--- a/src/coordination/job_persistence/progress.rs
+++ b/src/coordination/job_persistence/progress.rs
@@ -33,11 +33,11 @@
 }
 
 /// Returns the completed tasks that the record of a job can name: those whose ranges fit into `value_bytes` together
-/// with `base` other bytes. No completion is lost if a task is left out, since the workers keep reporting completed
-/// tasks until these are recorded.
-fn recorded_tasks(job: &Job, base: usize, value_bytes: usize) -> RangeSet {
+/// with `base_bytes` other bytes. No completion is lost if a task is left out, since the workers keep reporting
+/// completed tasks until these are recorded.
+fn recorded_tasks(job: &Job, base_bytes: usize, value_bytes: usize) -> RangeSet {
     match job.record.size {
-        RecordSize::Fits => job.progress.done.within(value_bytes.saturating_sub(base + RECORD_SIZE_MARGIN)),
+        RecordSize::Fits => job.progress.done.within(value_bytes.saturating_sub(base_bytes + RECORD_SIZE_MARGIN)),
         RecordSize::TooLargeWithRanges | RecordSize::TooLarge => RangeSet::new(),
     }
 }
@@ -58,17 +58,17 @@
         let leadership = shard.leadership_term();
         let Some(job) = shard.jobs.get_mut(id) else { return };
         let mut record = live_record(shard_id, job);
-        let base = to_value(&record).to_string().len();
-        if base > value_bytes {
+        let base_bytes = to_value(&record).to_string().len();
+        if base_bytes > value_bytes {
             // The record was written when the state service accepted larger values, and can't be rewritten now.
             log::error!(
-                "job {id}: record has {base} bytes without its completed tasks, more than the limit of {value_bytes}; \
-                 no longer writing its progress"
+                "job {id}: record has {base_bytes} bytes without its completed tasks, more than the limit of \
+                 {value_bytes} bytes; no longer writing its progress"
             );
             job.record.size = RecordSize::TooLarge;
             return;
         }
-        let done = recorded_tasks(job, base, value_bytes);
+        let done = recorded_tasks(job, base_bytes, value_bytes);
         record.done = done.to_string();
         job.record.call_sent(now);
         let progress = RecordedProgress {
--- a/src/coordination/job_persistence/unknown_outcome.rs
+++ b/src/coordination/job_persistence/unknown_outcome.rs
@@ -34,7 +34,7 @@
         let shard_id = leadership.shard;
         match answer {
             Ok(StateAnswer::Found(entry)) => self.live_record_read(shard_id, id, entry),
-            Ok(StateAnswer::Missing) => return self.read_end_record(leadership, id),
+            Ok(StateAnswer::Missing) => return self.read_final_record(leadership, id),
             _ => return self.job_call_unanswered(shard_id, id, false),
         }
         self.write_end(shard_id, id);
@@ -55,16 +55,16 @@
         self.end_cancellation_doubt(id, final_write_in_doubt);
     }
 
-    fn read_end_record(&mut self, leadership: LeadershipTerm, id: &JobId) {
+    fn read_final_record(&mut self, leadership: LeadershipTerm, id: &JobId) {
         let shard_id = leadership.shard;
         let Some(job) = self.job_mut(shard_id, id) else { return };
         job.record.call_in_flight = true;
         self.admit_next_step(TrafficClass::FinalRecord);
         let request = StateCall::Get(keys::end_key(id));
-        self.call_for_job(leadership, id, request, JobRecordOperation::ReadEnd);
+        self.call_for_job(leadership, id, request, JobRecordOperation::ReadFinal);
     }
 
-    pub(super) fn end_record_answered(&mut self, shard_id: ShardId, id: &JobId, answer: StateResult) {
+    pub(super) fn final_read_answered(&mut self, shard_id: ShardId, id: &JobId, answer: StateResult) {
         let Ok(StateAnswer::Found(entry)) = answer else {
             return self.job_call_unanswered(shard_id, id, false);
         };
--- a/src/coordination/shard/attempts.rs
+++ b/src/coordination/shard/attempts.rs
@@ -15,7 +15,7 @@
     task: TaskId,
     outcome: AttemptOutcome,
     /// Run time in seconds. `None` if the attempt was never reported to be running.
-    ran_s: Option<f64>,
+    run_time_s: Option<f64>,
 }
 
 impl Shard {
@@ -43,7 +43,7 @@
 
     /// Adds an attempt to a machine in memory, and to its team's usage unless it is over. It becomes the current
     /// attempt of its task unless it is to be stopped.
-    pub fn place(&mut self, machine: &MachineId, no: AttemptNumber, attempt: Attempt) {
+    pub fn place(&mut self, machine: &MachineId, attempt_number: AttemptNumber, attempt: Attempt) {
         if !attempt.is_over() {
             let usage = self.usage.entry(attempt.team.clone()).or_default();
             *usage = usage.plus(&attempt.needs);
@@ -51,25 +51,31 @@
         if let Some(job) = self.jobs.get_mut(&attempt.task.job)
             && attempt.stop.is_none()
         {
-            let location = AttemptLocation { machine: machine.clone(), attempt: no };
+            let location = AttemptLocation { machine: machine.clone(), attempt: attempt_number };
             job.progress.started(attempt.task.task.0, location);
         }
         if let Some(machine) = self.machines.get_mut(machine) {
-            machine.attempts.insert(no, attempt);
+            machine.attempts.insert(attempt_number, attempt);
         }
     }
 
     /// Records that an attempt no longer runs: its resources and quota are freed, and its task is completed or becomes
     /// pending again.
-    fn finish_attempt(&mut self, machine_id: &MachineId, no: AttemptNumber, outcome: AttemptOutcome, now: Time) {
-        self.record_runtime(machine_id, no, outcome, now);
-        let Some(ended) = self.ended_attempt(machine_id, no, outcome, now) else { return };
-        log::debug!("task {} attempt {no} on {machine_id}: {outcome:?}", ended.task);
-        self.free_usage(machine_id, no);
+    fn finish_attempt(
+        &mut self,
+        machine_id: &MachineId,
+        attempt_number: AttemptNumber,
+        outcome: AttemptOutcome,
+        now: Time,
+    ) {
+        self.record_runtime(machine_id, attempt_number, outcome, now);
+        let Some(ended) = self.ended_attempt(machine_id, attempt_number, outcome, now) else { return };
+        log::debug!("task {}: attempt {attempt_number} on machine {machine_id} ended: {outcome:?}", ended.task);
+        self.free_usage(machine_id, attempt_number);
         self.update_idle_since(machine_id, now);
-        self.judge_machine(machine_id, &ended, now);
+        self.update_machine_failures(machine_id, &ended, now);
         let Some(job) = self.jobs.get(&ended.task.job) else { return };
-        if job.progress.is_current(&ended.task, no) {
+        if job.progress.is_current(&ended.task, attempt_number) {
             self.finish_current_attempt(machine_id, &ended, now);
         } else {
             self.finish_superseded_attempt(&ended);
@@ -79,19 +85,22 @@
     fn ended_attempt(
         &self,
         machine_id: &MachineId,
-        no: AttemptNumber,
+        attempt_number: AttemptNumber,
         outcome: AttemptOutcome,
         now: Time,
     ) -> Option<EndedAttempt> {
-        let attempt = self.machines.get(machine_id)?.attempts.get(&no)?;
-        let ran_s = attempt.running_since.map(|since| now.since(since).as_secs());
-        Some(EndedAttempt { task: attempt.task.clone(), outcome, ran_s })
+        let attempt = self.machines.get(machine_id)?.attempts.get(&attempt_number)?;
+        let run_time_s = attempt.running_since.map(|since| now.since(since).as_secs());
+        Some(EndedAttempt { task: attempt.task.clone(), outcome, run_time_s })
     }
 
     /// Subtracts the resources of an attempt from its team's usage. While the leader lease is not valid, they are
     /// counted as ended without a lease instead, see [`Shard::record_lease_state`].
-    fn free_usage(&mut self, machine_id: &MachineId, no: AttemptNumber) {
-        let Some(attempt) = self.machines.get(machine_id).and_then(|machine| machine.attempts.get(&no)) else { return };
+    fn free_usage(&mut self, machine_id: &MachineId, attempt_number: AttemptNumber) {
+        let Some(attempt) = self.machines.get(machine_id).and_then(|machine| machine.attempts.get(&attempt_number))
+        else {
+            return;
+        };
         let Some(usage) = self.usage.get_mut(&attempt.team) else { return };
         *usage = usage.minus(&attempt.needs);
         if let Some(ended) = &mut self.ended_without_lease {
@@ -112,7 +121,7 @@
     }
 
     /// Counts a failed attempt towards the quarantine of its machine. A completed attempt resets that count.
-    fn judge_machine(&mut self, machine_id: &MachineId, ended: &EndedAttempt, now: Time) {
+    fn update_machine_failures(&mut self, machine_id: &MachineId, ended: &EndedAttempt, now: Time) {
         match ended.outcome {
             AttemptOutcome::Exited(Exit::Error) => self.record_machine_failure(machine_id, &ended.task.job, now),
             AttemptOutcome::Exited(Exit::Done) => {
@@ -138,7 +147,7 @@
         let Some(job) = self.jobs.get_mut(&ended.task.job) else { return };
         job.progress.running.remove(&ended.task.task.0);
         if ended.outcome == AttemptOutcome::Exited(Exit::Done) {
-            if let Some(seconds) = ended.ran_s {
+            if let Some(seconds) = ended.run_time_s {
                 job.observed_runtimes.add(seconds);
             }
             job.failures.record_success();
@@ -159,12 +168,12 @@
     fn record_job_failure(&mut self, machine_id: &MachineId, ended: &EndedAttempt, now: Time) {
         let Some(job) = self.jobs.get_mut(&ended.task.job) else { return };
         let running = job.progress.running.len();
-        let newly_found = job.failures.record_failure(machine_id, job.spec.kind, running, now);
+        let newly_at_fault = job.failures.record_failure(machine_id, job.spec.kind, running, now);
         if job.failures.fails_everywhere || ended.outcome == AttemptOutcome::Exited(Exit::Unknown) {
             job.failures.back_off(now);
             self.queue.invalidate();
         }
-        if newly_found {
+        if newly_at_fault {
             log::info!(
                 "job {}: tasks failed on {} machines, {running} are running; backing off",
                 ended.task.job,
@@ -211,14 +220,15 @@
         now: Time,
     ) {
         let Some(machine) = self.machines.get(machine_id) else { return };
-        let gone = machine.attempts.iter().filter(|(no, attempt)| is_gone(**no, attempt));
-        let gone: Vec<(AttemptNumber, bool)> = gone.map(|(no, attempt)| (*no, attempt.is_over())).collect();
-        for (no, was_over) in gone {
+        let gone = machine.attempts.iter().filter(|(attempt_number, attempt)| is_gone(**attempt_number, attempt));
+        let gone: Vec<(AttemptNumber, bool)> =
+            gone.map(|(attempt_number, attempt)| (*attempt_number, attempt.is_over())).collect();
+        for (attempt_number, was_over) in gone {
             if !was_over {
-                self.finish_attempt(machine_id, no, AttemptOutcome::Lost, now);
+                self.finish_attempt(machine_id, attempt_number, AttemptOutcome::Lost, now);
             }
             if let Some(machine) = self.machines.get_mut(machine_id) {
-                machine.attempts.remove(&no);
+                machine.attempts.remove(&attempt_number);
             }
         }
     }
@@ -253,18 +263,22 @@
         let number = HeartbeatNumber::of(heartbeat);
         // The command to start an attempt that was sent in answer to this heartbeat or to a later one may still be in
         // flight, so such an attempt is kept though it is not reported.
-        self.remove_attempts(id, |no, attempt| !reported.contains(&no) && attempt.sent_in < number, now);
+        self.remove_attempts(
+            id,
+            |attempt_number, attempt| !reported.contains(&attempt_number) && attempt.sent_in < number,
+            now,
+        );
     }
 
     /// Applies a reported status to an attempt that this leader knows.
     fn apply_status(&mut self, machine_id: &MachineId, status: &TaskStatus, now: Time) {
-        let patience = self.runtime_samples.as_ref().map(|samples| samples.patience);
+        let max_silence = self.runtime_samples.as_ref().map(|samples| samples.max_silence);
         let Some(attempt) = self.attempt_mut(machine_id, status.attempt) else { return };
         if status.state == TaskState::Running && attempt.running_since.is_none() {
             attempt.running_since = Some(now);
         }
-        if let Some(patience) = patience {
-            attempt.record_progress(status.state, patience, now);
+        if let Some(max_silence) = max_silence {
+            attempt.record_progress(status.state, max_silence, now);
         }
         if attempt.is_over() {
             return;
@@ -302,18 +316,18 @@
             sent_in: HeartbeatNumber::of(heartbeat),
             running_since: (status.state == TaskState::Running).then_some(now),
             progress: AttemptProgress::inherited(now),
-            stop: (!self.is_wanted(&status.task) && !is_over).then_some(0.0),
+            stop: (!self.needs_attempt(&status.task) && !is_over).then_some(0.0),
         }
     }
 
-    fn adopt_running_attempt(&mut self, machine_id: &MachineId, no: AttemptNumber, attempt: Attempt) {
+    fn adopt_running_attempt(&mut self, machine_id: &MachineId, attempt_number: AttemptNumber, attempt: Attempt) {
         let inherited = self.machines.get(machine_id).is_some_and(|machine| !machine.reconciled);
         if attempt.is_of_unknown_job() {
             self.machines_with_unknown_jobs.insert(machine_id.clone());
         } else if inherited {
             self.recovery.record_found_attempt(&attempt.team, &attempt.needs);
         }
-        self.place(machine_id, no, attempt);
+        self.place(machine_id, attempt_number, attempt);
     }
 
     /// Adds an attempt that was over when it was first reported.
@@ -331,7 +345,7 @@
     ) {
         let job = self.job_of(&status.task);
         let settles_task = exit == Exit::Done || job.is_none_or(|job| !self.recovery.may_be_running(&job.spec));
-        if self.is_wanted(&status.task) && settles_task {
+        if self.needs_attempt(&status.task) && settles_task {
             // The attempt is first placed as running, so that its end is recorded like that of any other attempt.
             self.place(machine_id, status.attempt, Attempt { state: None, ..attempt });
             self.finish_attempt(machine_id, status.attempt, AttemptOutcome::Exited(exit), now);
@@ -342,8 +356,8 @@
     }
 
     /// Returns `true` if the task exists and is neither done nor running.
-    fn is_wanted(&self, task: &TaskId) -> bool {
-        self.job_of(task).is_some_and(|job| job.progress.is_wanted(task.task.0))
+    fn needs_attempt(&self, task: &TaskId) -> bool {
+        self.job_of(task).is_some_and(|job| job.progress.needs_attempt(task.task.0))
     }
 
     /// Returns the job of a task. `None` if the job is unknown or has no task of that number.
@@ -351,8 +365,8 @@
         self.jobs.get(&task.job).filter(|job| task.task.0 < job.spec.tasks)
     }
 
-    fn attempt_mut(&mut self, machine_id: &MachineId, no: AttemptNumber) -> Option<&mut Attempt> {
-        self.machines.get_mut(machine_id).and_then(|machine| machine.attempts.get_mut(&no))
+    fn attempt_mut(&mut self, machine_id: &MachineId, attempt_number: AttemptNumber) -> Option<&mut Attempt> {
+        self.machines.get_mut(machine_id).and_then(|machine| machine.attempts.get_mut(&attempt_number))
     }
 
     fn set_attempt_state(&mut self, machine_id: &MachineId, status: &TaskStatus) {
--- a/src/coordination/shard/failure_history.rs
+++ b/src/coordination/shard/failure_history.rs
@@ -30,7 +30,7 @@
     pub machines: Vec<MachineFailure>,
     /// Number of failures since a task of the job last completed, without those of tasks that were started before the
     /// current backoff.
-    count: u32,
+    counted_failures: u32,
     /// `true` if tasks of the job failed on several machines and none has completed since, so that the job and not the
     /// machines is at fault.
     pub fails_everywhere: bool,
@@ -60,7 +60,7 @@
 
     /// Records that a task of the job has completed. The job is not at fault, so the backoff ends.
     pub(super) fn record_success(&mut self) {
-        self.count = 0;
+        self.counted_failures = 0;
         self.fails_everywhere = false;
         self.backoff_until = Time::ZERO;
     }
@@ -75,16 +75,16 @@
         self.remember_machine(machine, now);
         // Tasks that were started before the backoff may fail during it. These failures must not lengthen the pause.
         if now >= self.backoff_until {
-            self.count += 1;
+            self.counted_failures += 1;
         }
-        let newly_found = !self.fails_everywhere && self.blames_job(running);
-        self.fails_everywhere |= newly_found;
-        newly_found
+        let newly_at_fault = !self.fails_everywhere && self.is_job_at_fault(running);
+        self.fails_everywhere |= newly_at_fault;
+        newly_at_fault
     }
 
     /// Begins or extends the backoff, with a pause that doubles with each counted failure.
     pub(super) fn back_off(&mut self, now: Time) {
-        let doublings = self.count.min(MAX_BACKOFF_DOUBLINGS);
+        let doublings = self.counted_failures.min(MAX_BACKOFF_DOUBLINGS);
         let pause = MIN_BACKOFF.times(f64::from(1u32 << doublings));
         self.backoff_until = self.backoff_until.max(now + pause);
     }
@@ -96,7 +96,7 @@
             return;
         }
         self.machines.clear();
-        self.count = 0;
+        self.counted_failures = 0;
         self.fails_everywhere &= kind == JobKind::Array;
     }
 
@@ -110,7 +110,7 @@
 
     /// Returns `true` if the failures show that the job is at fault. A large job may meet several faulty machines while
     /// most of its tasks run, whereas few tasks of a faulty job run anywhere.
-    fn blames_job(&self, running: usize) -> bool {
+    fn is_job_at_fault(&self, running: usize) -> bool {
         let failed = self.machines.len();
         failed >= MIN_FAILED_MACHINES && running <= MAX_RUNNING_TASKS_PER_FAILED_MACHINE * failed
     }
--- a/src/coordination/shard/job.rs
+++ b/src/coordination/shard/job.rs
@@ -136,7 +136,7 @@
     }
 
     /// Returns `true` if the task is neither done nor running.
-    pub fn is_wanted(&self, task: u32) -> bool {
+    pub fn needs_attempt(&self, task: u32) -> bool {
         !self.done.contains(task) && !self.running.contains_key(&task)
     }
 
--- a/src/coordination/shard/job_record.rs
+++ b/src/coordination/shard/job_record.rs
@@ -27,11 +27,11 @@
     /// then report the end of the job to users.
     pub final_write_in_doubt: bool,
     /// `true` if a write was refused, and thus not executed, since the final record was last sent.
-    pub refused: bool,
+    pub write_refused: bool,
     /// Size of the record relative to the limit of the state service.
     pub size: RecordSize,
     /// Time at which a read or write of the record was last sent.
-    pub last_write: Time,
+    pub last_call_at: Time,
 }
 
 /// Size of a job's record relative to the limit of a value in the state service. A record that was refused for its size
@@ -81,9 +81,9 @@
             call_in_flight: false,
             outcome_unknown: false,
             final_write_in_doubt: false,
-            refused: false,
+            write_refused: false,
             size: RecordSize::Fits,
-            last_write: Time::ZERO,
+            last_call_at: Time::ZERO,
         }
     }
 
@@ -91,14 +91,14 @@
     /// `interval` ago. The interval does not apply to a final record that was only deferred by the rate limit, without
     /// being refused or left in doubt.
     pub fn must_wait(&self, is_ending: bool, interval: Span, now: Time) -> bool {
-        let recent = now.since(self.last_write) < interval;
-        self.call_in_flight || recent && (!is_ending || self.outcome_unknown || self.refused)
+        let recent = now.since(self.last_call_at) < interval;
+        self.call_in_flight || recent && (!is_ending || self.outcome_unknown || self.write_refused)
     }
 
     /// Records that a read or write of the record is being sent.
     pub fn call_sent(&mut self, now: Time) {
         self.call_in_flight = true;
-        self.last_write = now;
+        self.last_call_at = now;
     }
 
     /// Records that a write of progress was executed. Returns `true` if the start watermark rose, so that more tasks
--- a/src/coordination/shard/machine.rs
+++ b/src/coordination/shard/machine.rs
@@ -247,7 +247,12 @@
     /// that were sent in it, or else a newer fencing token.
     pub fn answer_evidence(&self, heartbeat: &WorkerHeartbeat) -> AnswerEvidence {
         let just_sent = |attempt: &Attempt| attempt.state.is_none() && attempt.sent_in == self.last_heartbeat;
-        let mut sent = self.attempts.iter().filter(|(_, attempt)| just_sent(attempt)).map(|(no, _)| no).peekable();
+        let mut sent = self
+            .attempts
+            .iter()
+            .filter(|(_, attempt)| just_sent(attempt))
+            .map(|(attempt_number, _)| attempt_number)
+            .peekable();
         if sent.peek().is_none() {
             return if self.answered.is_some() && heartbeat.token < self.token {
                 AnswerEvidence::Missing
@@ -256,7 +261,11 @@
             };
         }
         let reported: HashSet<AttemptNumber> = heartbeat.tasks.iter().map(|task| task.attempt).collect();
-        if sent.any(|no| reported.contains(no)) { AnswerEvidence::Received } else { AnswerEvidence::Missing }
+        if sent.any(|attempt_number| reported.contains(attempt_number)) {
+            AnswerEvidence::Received
+        } else {
+            AnswerEvidence::Missing
+        }
     }
 
     /// Returns `true` if the image is probably in the machine's cache.
--- a/src/coordination/shard/mod.rs
+++ b/src/coordination/shard/mod.rs
@@ -47,7 +47,7 @@
 
 /// Reciprocal of the largest fraction of machines that may be excluded from placement for answer loss: if more than one
 /// machine in this many loses its answers, none is excluded.
-const ANSWER_LOSS_MACHINES: usize = 4;
+const MIN_MACHINES_PER_ANSWER_LOSS: usize = 4;
 
 /// State of one shard that this node leads.
 pub(super) struct Shard {
@@ -202,13 +202,14 @@
 
     /// Excludes machines that do not receive this leader's answers from placement, and readmits those that do again.
     ///
-    /// If more than one machine in [`ANSWER_LOSS_MACHINES`] loses its answers, the fault is more likely on the side of
-    /// this node, and no machine is excluded.
+    /// If more than one machine in [`MIN_MACHINES_PER_ANSWER_LOSS`] loses its answers, the fault is more likely on the
+    /// side of this node, and no machine is excluded.
     pub fn update_answer_loss(&mut self) {
-        let losing = self.machines.values().filter(|machine| machine.answer_loss.loss_since().is_some()).count();
-        let few = losing <= self.machines.len().div_ceil(ANSWER_LOSS_MACHINES);
+        let losing_answers =
+            self.machines.values().filter(|machine| machine.answer_loss.loss_since().is_some()).count();
+        let may_exclude = losing_answers <= self.machines.len().div_ceil(MIN_MACHINES_PER_ANSWER_LOSS);
         for (id, machine) in &mut self.machines {
-            let loses_answers = few && machine.answer_loss.loss_since().is_some();
+            let loses_answers = may_exclude && machine.answer_loss.loss_since().is_some();
             if machine.loses_answers != loses_answers {
                 let change = if loses_answers {
                     "does not receive the answers to its heartbeats; starting no tasks on it"
--- a/src/coordination/shard/task_runtimes/tests.rs
+++ b/src/coordination/shard/task_runtimes/tests.rs
@@ -49,7 +49,7 @@
     }
 
     /// Places an attempt of a task on the machine in answer to the last heartbeat.
-    fn place(&mut self, task: u32, no: u64) {
+    fn place(&mut self, task: u32, attempt_number: u64) {
         let attempt = Attempt {
             task: TaskId { job: JobId::new(JOB), task: TaskIndex(task) },
             team: Name::new("t"),
@@ -60,7 +60,7 @@
             progress: AttemptProgress::default(),
             stop: None,
         };
-        self.shard.place(&self.machine, AttemptNumber(no), attempt);
+        self.shard.place(&self.machine, AttemptNumber(attempt_number), attempt);
     }
 
     /// Applies a heartbeat that the machine sends `after_ms` later. `tasks` are the task, attempt number and state of
@@ -68,9 +68,9 @@
     fn heartbeat(&mut self, after_ms: u64, tasks: &[(u32, u64, TaskState)]) {
         self.now += Span::millis(after_ms);
         self.seq += 1;
-        let statuses = tasks.iter().map(|(task, no, state)| TaskStatus {
+        let statuses = tasks.iter().map(|(task, attempt_number, state)| TaskStatus {
             task: TaskId { job: JobId::new(JOB), task: TaskIndex(*task) },
-            attempt: AttemptNumber(*no),
+            attempt: AttemptNumber(*attempt_number),
             state: *state,
         });
         let heartbeat = WorkerHeartbeat {
@@ -89,9 +89,9 @@
     }
 
     /// Applies a heartbeat with the running attempt each second, `seconds` times.
-    fn runs_for(&mut self, task: u32, no: u64, seconds: u64) {
+    fn runs_for(&mut self, task: u32, attempt_number: u64, seconds: u64) {
         for _ in 0..seconds {
-            self.heartbeat(1000, &[(task, no, TaskState::Running)]);
+            self.heartbeat(1000, &[(task, attempt_number, TaskState::Running)]);
         }
     }
 
--- a/src/coordination/shard_recovery/loading.rs
+++ b/src/coordination/shard_recovery/loading.rs
@@ -29,8 +29,8 @@
         sent: Time,
     ) {
         let LeadershipTerm { shard: id, term } = leadership;
-        let how = if context.reacquired { "acquired again after a restart" } else { "acquired" };
-        log::info!("shard {id}: leadership {how} at revision {term}; loading the shard's records");
+        let acquisition = if context.reacquired { "acquired again after a restart" } else { "acquired" };
+        log::info!("shard {id}: leadership {acquisition} at revision {term}; loading the shard's records");
         let now = self.now;
         self.membership.record_leadership(
             id,
@@ -133,8 +133,9 @@
     /// shard is served already.
     pub(in crate::coordination) fn begin_serving(&mut self, id: ShardId) {
         let now = self.now;
-        let waits = self.shards.get(&id).is_some_and(|shard| !shard.is_active() && shard.loading.read_at.is_some());
-        if !waits || !self.is_ready_to_decide(id) {
+        let is_waiting =
+            self.shards.get(&id).is_some_and(|shard| !shard.is_active() && shard.loading.read_at.is_some());
+        if !is_waiting || !self.is_ready_to_decide(id) {
             return;
         }
         let Some(shard) = self.shards.get_mut(&id) else { return };
--- a/src/coordination/shard_recovery/quotas.rs
+++ b/src/coordination/shard_recovery/quotas.rs
@@ -39,20 +39,20 @@
     fn previous_term_record(&self, shard: &Shard, recorded: &PreviousTermRecord) -> PreviousTermRecord {
         let overlap = shard.leadership.overlap.as_ref();
         let overlaps = overlap.is_some_and(|overlap| !overlap.is_over(self.now));
-        let limits = if shard.leadership.same_quotas { recorded.limits.clone() } else { self.kept_quotas(shard) };
+        let limits = if shard.leadership.same_quotas { recorded.limits.clone() } else { self.met_quotas_digest(shard) };
         PreviousTermRecord { limits, overlap: recorded.overlap.filter(|_| overlaps) }
     }
 
     /// Returns the digest of this node's quotas if all machines are reconciled and every team is within its quota.
-    fn kept_quotas(&self, shard: &Shard) -> Option<String> {
+    fn met_quotas_digest(&self, shard: &Shard) -> Option<String> {
         if !shard.recovery.is_complete() {
             return None;
         }
-        let are_kept = self.settings.teams.iter().all(|(team, quota)| {
+        let are_met = self.settings.teams.iter().all(|(team, quota)| {
             let used = shard.team_usage(team, &self.settings, self.cloud.types());
             quota.cpus_max.is_none_or(|max| used.cpus <= max) && quota.gpus_max.is_none_or(|max| used.gpus <= max)
         });
-        are_kept.then(|| self.settings.limits_digest.clone())
+        are_met.then(|| self.settings.limits_digest.clone())
     }
 
     pub(super) fn quotas_recorded(
