--- a/src/coordination/shard/attempts.rs
+++ b/src/coordination/shard/attempts.rs
@@ -94,8 +94,8 @@
         Some(EndedAttempt { task: attempt.task.clone(), outcome, run_time_s })
     }
 
-    /// Subtracts the resources of an attempt from its team's usage. While the leader lease is not valid, they are
-    /// counted as ended without a lease instead, see [`Shard::record_lease_state`].
+    /// Subtracts the resources of an attempt from its team's usage. While the leader lease is not valid, they keep
+    /// counting towards the quota as resources that ended without a lease, see [`Shard::record_lease_state`].
     fn free_usage(&mut self, machine_id: &MachineId, attempt_number: AttemptNumber) {
         let Some(attempt) = self.machines.get(machine_id).and_then(|machine| machine.attempts.get(&attempt_number))
         else {
--- a/src/coordination/shard/job.rs
+++ b/src/coordination/shard/job.rs
@@ -79,8 +79,8 @@
 
 /// Waiting time of a job's next task, and the machine that is reserved for it.
 pub(in crate::coordination) struct WaitingTimes {
-    /// Time from which the job's first pending task has been passed over in favour of other jobs' tasks. `None` if it
-    /// has not been passed over.
+    /// Time from which the job's first pending task has been skipped while tasks of other jobs were started. `None` if
+    /// it has not been skipped.
     pub skipped_since: Option<Time>,
     /// Time from which the job has had pending tasks without a break.
     pub waiting_since: Time,
--- a/src/coordination/shard_recovery/loading.rs
+++ b/src/coordination/shard_recovery/loading.rs
@@ -46,7 +46,7 @@
         self.load_records(leadership);
     }
 
-    /// Returns the record of previous terms as written by the commit that acquired leadership.
+    /// Returns the previous-term record as written by the commit that acquired leadership.
     fn record_of_new_term(&self, context: &AcquisitionContext) -> PreviousTermRecord {
         PreviousTermRecord {
             limits: context.same_quotas.then(|| self.settings.limits_digest.clone()),
--- a/src/coordination/shard_recovery/machine_queries.rs
+++ b/src/coordination/shard_recovery/machine_queries.rs
@@ -39,7 +39,7 @@
         if executed && heartbeat.token >= machine.token {
             return ReconciliationAnswer::Current(heartbeat);
         }
-        // A higher token shows that another controller has acquired leadership since.
+        // A higher fencing token shows that another controller has acquired leadership since.
         if heartbeat.token <= machine.token && heartbeat.epoch != NO_EPOCH {
             ReconciliationAnswer::OtherEpoch(heartbeat.epoch)
         } else {
--- a/src/coordination/shard_recovery/quotas.rs
+++ b/src/coordination/shard_recovery/quotas.rs
@@ -1,4 +1,5 @@
-//! Record that tells the next leader of a shard under which quotas all tasks that may still run were started.
+//! Updates of a shard's previous-term record, which tells the next leader under which quotas all tasks that may still
+//! run were started.
 
 use super::RecoveryOperation;
 use crate::coordination::controller::Controller;
@@ -11,9 +12,9 @@
 use crate::storage::records::{PreviousTermRecord, to_value};
 
 impl Controller {
-    /// Updates the record for the next leader when its content has changed: the quotas under which all tasks that may
-    /// still run were started, and the overlap with a deposed leader. See [`PreviousTermRecord`]. Only one write for
-    /// each shard is in flight at a time.
+    /// Updates the previous-term record for the next leader when its content has changed: the quotas under which all
+    /// tasks that may still run were started, and the overlap with a deposed leader. See [`PreviousTermRecord`]. Only
+    /// one write for each shard is in flight at a time.
     pub(super) fn record_quotas(&mut self, id: ShardId) {
         let Some(shard) = self.shards.get(&id).filter(|shard| shard.is_active()) else { return };
         let Some(PreviousTerm { version, record: recorded }) = self.leadership.previous_term(id).cloned() else {
@@ -35,7 +36,7 @@
         self.call_state(request, RecoveryOperation::RecordQuotas { leadership, record });
     }
 
-    /// Returns the record for the next leader as it should be now. `recorded` is its content in the state service.
+    /// Returns the previous-term record as it should be now. `recorded` is its content in the state service.
     fn previous_term_record(&self, shard: &Shard, recorded: &PreviousTermRecord) -> PreviousTermRecord {
         let overlap = shard.leadership.overlap.as_ref();
         let overlaps = overlap.is_some_and(|overlap| !overlap.is_over(self.now));
