--- a/src/coordination/job_persistence/end_of_job.rs
+++ b/src/coordination/job_persistence/end_of_job.rs
@@ -1,4 +1,4 @@
-//! Writes the final records of jobs, and removes jobs whose final record is durable.
+//! Writes of the final records of jobs, and removal of the jobs from memory once these are durable.
 
 use super::JobRecordOperation;
 use crate::coordination::controller::Controller;
@@ -9,19 +9,19 @@
 use crate::protocol::state::{StateAnswer, StateResult};
 use crate::storage::records::EndRecord;
 
-/// What became of an attempt to write a final record.
+/// Result of a request to write a final record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(in crate::coordination) enum EndWrite {
+pub(in crate::coordination) enum FinalRecordWrite {
     /// The write was sent.
     Sent,
-    /// There is nothing to be written, or it has to wait for something else.
+    /// The job has no final record to write, or the write has to wait for another call or for the end of an overlap.
     NotDue,
-    /// The state service's limits leave no room for it now.
+    /// The rate limits of the state service do not admit the write now.
     NotAdmitted,
 }
 
 impl Controller {
-    /// Starts recording the end of every job whose tasks are all done.
+    /// Starts to write the final record of each job whose tasks are all done.
     pub(in crate::coordination) fn finish_jobs(&mut self, shard_id: ShardId) {
         let Some(shard) = self.shards.get_mut(&shard_id) else { return };
         let mut ready = Vec::new();
@@ -32,37 +32,39 @@
                 ready.push(id);
             }
         }
-        self.write_ends(shard_id, ready);
+        self.write_final_records(shard_id, ready);
     }
 
-    /// Writes final records as far as the rate limits allow, before any progress; the next round continues.
+    /// Writes final records as far as the rate limits allow, ahead of any progress. Later ticks continue with the rest.
     ///
-    /// Without a limit, many small jobs that end at once would have most of their writes refused again and again, and
-    /// all other calls along with them.
-    pub(super) fn write_ends(&mut self, shard_id: ShardId, ready: Vec<JobId>) {
+    /// Without the limit, if many small jobs ended at once, the state service would refuse most of the writes again and
+    /// again, and all other calls along with them.
+    pub(super) fn write_final_records(&mut self, shard_id: ShardId, ready: Vec<JobId>) {
         let now = self.now;
         for id in ready {
-            if self.write_end(shard_id, &id) == EndWrite::NotAdmitted {
+            if self.write_end(shard_id, &id) == FinalRecordWrite::NotAdmitted {
                 return;
             }
             if let Some(job) = self.job_mut(shard_id, &id) {
-                job.record.last_write = now;
+                job.record.last_call_at = now;
             }
         }
     }
 
-    /// Writes the final record of a job that is ending, unless that has to wait. What is not admitted is written by a
-    /// later round.
-    pub(in crate::coordination) fn write_end(&mut self, shard_id: ShardId, id: &JobId) -> EndWrite {
-        let Some(state) = self.final_state_to_write(shard_id, id) else { return EndWrite::NotDue };
+    /// Writes the final record of a job that is ending, unless the write has to wait. A write that is not admitted is
+    /// retried by a later tick.
+    pub(in crate::coordination) fn write_end(&mut self, shard_id: ShardId, id: &JobId) -> FinalRecordWrite {
+        let Some(state) = self.final_state_to_write(shard_id, id) else { return FinalRecordWrite::NotDue };
         if !self.admits(TrafficClass::FinalRecord) {
-            return EndWrite::NotAdmitted;
+            return FinalRecordWrite::NotAdmitted;
         }
-        self.send_end(shard_id, id, state);
-        EndWrite::Sent
+        self.send_final_record(shard_id, id, state);
+        FinalRecordWrite::Sent
     }
 
-    /// The final state that may be recorded now, if the job is ending.
+    /// Returns the final state of a job that may be recorded now. `None` if the job is not ending, this node may not
+    /// decide, another call for the record is in flight or in doubt, or a deposed leader may contradict the final
+    /// state.
     fn final_state_to_write(&self, shard_id: ShardId, id: &JobId) -> Option<FinalState> {
         if !self.may_decide(shard_id) {
             return None;
@@ -71,7 +73,7 @@
         let shard = self.shards.get(&shard_id)?;
         let job = shard.jobs.get(id)?;
         let state = job.ending?;
-        // A deposed leader that does not know yet that it was replaced might still reply with an earlier state.
+        // A deposed leader that does not know yet that it was replaced may still report an earlier state to users.
         let overlaps = shard.leadership.overlap.as_ref().is_some_and(|overlap| match state {
             FinalState::Done => !overlap.may_record_done(now),
             FinalState::Cancelled => !overlap.may_record_cancelled(now),
@@ -80,21 +82,27 @@
         may_write.then_some(state)
     }
 
-    fn send_end(&mut self, shard_id: ShardId, id: &JobId, state: FinalState) {
+    fn send_final_record(&mut self, shard_id: ShardId, id: &JobId, state: FinalState) {
         let Some(shard) = self.shards.get_mut(&shard_id) else { return };
         let leadership = shard.leadership_term();
         let Some(job) = shard.jobs.get_mut(id) else { return };
         job.record.call_in_flight = true;
-        job.record.refused = false;
+        job.record.write_refused = false;
         let end = EndRecord { state, done: job.progress.done.len(), cause: None };
         let request = final_record_request(leadership, id, job.record.version, &end);
         if state == FinalState::Cancelled {
             self.mark_cancellation_in_doubt(id);
         }
-        self.call_for_job(leadership, id, request, JobRecordOperation::WriteEnd(state));
+        self.call_for_job(leadership, id, request, JobRecordOperation::WriteFinal(state));
     }
 
-    pub(super) fn end_answered(&mut self, shard_id: ShardId, id: &JobId, state: FinalState, answer: StateResult) {
+    pub(super) fn final_write_answered(
+        &mut self,
+        shard_id: ShardId,
+        id: &JobId,
+        state: FinalState,
+        answer: StateResult,
+    ) {
         match answer {
             Ok(StateAnswer::Committed(_)) => self.job_ended(shard_id, id, state),
             Err(CallError::Refused { .. }) => self.job_write_refused(shard_id, id),
@@ -102,7 +110,8 @@
         }
     }
 
-    /// The final record of a job is durable: from now on the end may be reported to users, and the job's tasks are stopped.
+    /// Handles the end of a job whose final record is durable: the end may be reported to users from now on, the job is
+    /// removed from memory, and its remaining attempts are stopped.
     pub(super) fn job_ended(&mut self, shard_id: ShardId, id: &JobId, state: FinalState) {
         let Some(shard) = self.shards.get_mut(&shard_id) else { return };
         shard.record_interruptions(id);
@@ -110,7 +119,7 @@
         let Some(shard) = self.shards.get_mut(&shard_id) else { return };
         let Some(job) = shard.jobs.remove(id) else { return };
         shard.stop_attempts_of(id);
-        log::info!("job {id} {state:?}");
+        log::info!("job {id}: final state {state:?} is recorded; stopping its remaining attempts");
         self.forecast_ended(shard_id, id, state);
         self.directory.forget_job_shard(id);
         self.directory.record_end(id.clone(), EndRecord { state, done: job.progress.done.len(), cause: None });
--- a/src/coordination/job_persistence/mod.rs
+++ b/src/coordination/job_persistence/mod.rs
@@ -1,4 +1,4 @@
-//! Writes the records of jobs: progress in rounds, final records at once.
+//! Writes the records of jobs to the state service: progress periodically, final records as soon as they are due.
 
 mod end_of_job;
 mod progress;
@@ -13,68 +13,68 @@
 use crate::protocol::{BusyReason, Reply};
 use crate::time::{Span, Time};
 
-/// What a call to the state service does with the record of a job.
+/// Kind of a call to the state service that concerns the record of a job.
 pub(super) enum JobRecordOperation {
     /// Writes the progress of a live job.
     WriteProgress(RecordedProgress),
-    /// Replaces the live record with the final record.
-    WriteEnd(FinalState),
-    /// Reads the live record, since the outcome of a write is not known.
+    /// Replaces the live record with the final record of this state.
+    WriteFinal(FinalState),
+    /// Reads the live record, since the outcome of a call is in doubt.
     ReadLive,
-    /// Reads the final record, since there is no live record any more.
-    ReadEnd,
+    /// Reads the final record, since the live record no longer exists.
+    ReadFinal,
 }
 
-/// A call to the state service that concerns the record of one job.
+/// Call to the state service that concerns the record of one job.
 pub(super) struct JobOperation {
-    /// The shard of the job, and the leadership term in which the call was sent.
+    /// Shard of the job, and the leadership term in which the call was sent.
     pub leadership: LeadershipTerm,
-    /// The job.
+    /// Job that the record belongs to.
     pub job: JobId,
-    /// What the call does.
+    /// Kind of the call, with the values that its answer confirms.
     pub operation: JobRecordOperation,
 }
 
 impl JobOperation {
-    /// The class of traffic by which the call is admitted.
+    /// Returns the traffic class under which the call is admitted.
     pub fn traffic_class(&self) -> TrafficClass {
         match self.operation {
             JobRecordOperation::WriteProgress(_) => TrafficClass::Progress,
-            JobRecordOperation::WriteEnd(_) | JobRecordOperation::ReadLive | JobRecordOperation::ReadEnd => {
+            JobRecordOperation::WriteFinal(_) | JobRecordOperation::ReadLive | JobRecordOperation::ReadFinal => {
                 TrafficClass::FinalRecord
             }
         }
     }
 }
 
-/// The jobs of a shard whose records have to be read or written, each list in the order in which that is done.
+/// Jobs of a shard whose records have to be read or written. Each list is in the order in which the calls are sent.
 struct DueRecords {
-    /// Jobs with a write whose outcome is not known.
-    unknown: Vec<JobId>,
-    /// Jobs whose final record is to be written.
+    /// Jobs with a call whose outcome is in doubt.
+    in_doubt: Vec<JobId>,
+    /// Jobs whose final record has to be written.
     ending: Vec<JobId>,
-    /// Jobs with progress to record.
+    /// Jobs with unrecorded progress. Those that can't start tasks before the write come first.
     progressed: Vec<JobId>,
 }
 
 impl DueRecords {
     fn of<'a>(jobs: impl Iterator<Item = &'a Job>, interval: Span, now: Time) -> DueRecords {
-        let (mut unknown, mut ending, mut progressed) = (Vec::new(), Vec::new(), Vec::new());
+        let (mut in_doubt, mut ending, mut progressed) = (Vec::new(), Vec::new(), Vec::new());
         for job in jobs.filter(|job| !job.record.must_wait(job.ending.is_some(), interval, now)) {
             let id = job.spec.id.clone();
             if job.record.outcome_unknown {
-                unknown.push(id);
+                in_doubt.push(id);
             } else if job.ending.is_some() {
                 ending.push((&job.order, id));
             } else if job.has_unrecorded_progress() {
-                progressed.push((!job.is_held_back_by_record(), job.record.last_write, id));
+                progressed.push((!job.is_held_back_by_record(), job.record.last_call_at, id));
             }
         }
-        unknown.sort();
+        in_doubt.sort();
         ending.sort();
         progressed.sort();
         DueRecords {
-            unknown,
+            in_doubt,
             ending: ending.into_iter().map(|(_, id)| id).collect(),
             progressed: progressed.into_iter().map(|(_, _, id)| id).collect(),
         }
@@ -82,14 +82,14 @@
 }
 
 impl Controller {
-    /// Writes and reads the records of jobs that are due, as far as the rate limits allow.
+    /// Reads and writes the job records that are due, as far as the rate limits allow.
     pub(super) fn persistence_tick(&mut self) {
         for shard_id in self.decidable_shards() {
             let Some(shard) = self.shards.get(&shard_id) else { continue };
             let due = DueRecords::of(shard.jobs.values(), self.settings.properties.progress_interval, self.now);
-            self.read_records(shard_id, due.unknown);
+            self.read_records(shard_id, due.in_doubt);
             self.dependencies_tick(shard_id);
-            self.write_ends(shard_id, due.ending);
+            self.write_final_records(shard_id, due.ending);
             self.remove_stale_machine_records(shard_id);
             self.write_progress_of(shard_id, due.progressed);
         }
@@ -105,7 +105,7 @@
         self.call_state(request, JobOperation { leadership, job: job.clone(), operation });
     }
 
-    /// Handles the answer to a call that concerns the record of a job.
+    /// Handles the answer to a call that concerns the record of a job. Steps down if the answer shows a newer term.
     pub(super) fn job_record_answered(&mut self, call: JobOperation, answer: StateResult) {
         let JobOperation { leadership, job: id, operation } = call;
         let shard_id = leadership.shard;
@@ -117,16 +117,17 @@
         }
         match operation {
             JobRecordOperation::WriteProgress(progress) => self.progress_answered(shard_id, &id, progress, answer),
-            JobRecordOperation::WriteEnd(state) => self.end_answered(shard_id, &id, state, answer),
+            JobRecordOperation::WriteFinal(state) => self.final_write_answered(shard_id, &id, state, answer),
             JobRecordOperation::ReadLive => self.live_record_answered(leadership, &id, answer),
-            JobRecordOperation::ReadEnd => self.end_record_answered(shard_id, &id, answer),
+            JobRecordOperation::ReadFinal => self.final_read_answered(shard_id, &id, answer),
         }
     }
 
-    /// A write of a job's record was refused. A refused write was not executed: the next round tries again.
+    /// Handles the refusal of a write of a job's record. A refused write was not executed and is retried in a later
+    /// tick. If the job is ending, its cancellation requesters get a busy reply.
     fn job_write_refused(&mut self, shard_id: ShardId, id: &JobId) {
         let Some(job) = self.job_mut(shard_id, id) else { return };
-        job.record.refused = true;
+        job.record.write_refused = true;
         if job.ending.is_none() {
             return;
         }
@@ -136,7 +137,8 @@
         self.reply_to_all(requesters, Reply::busy(BusyReason::StateUnreachable));
     }
 
-    /// The outcome of a call for a job's record is not known, so the record has to be read again.
+    /// Marks the outcome of a call for a job's record as in doubt, so that the record is read again. The cancellation
+    /// requesters of the job get a busy reply.
     fn job_call_unanswered(&mut self, shard_id: ShardId, id: &JobId, is_final_write: bool) {
         let Some(job) = self.job_mut(shard_id, id) else { return };
         job.record.outcome_unknown = true;
@@ -145,7 +147,7 @@
         self.reply_to_all(requesters, Reply::busy(BusyReason::StateUnreachable));
     }
 
-    /// Records that a cancellation of the job can't be read by anyone, unless a final write may still be executed.
+    /// Records that no recorded cancellation of the job exists, unless a final write may still be executed.
     fn end_cancellation_doubt(&mut self, id: &JobId, final_write_in_doubt: bool) {
         if !final_write_in_doubt {
             self.clear_cancellation_doubt(id);
--- a/src/coordination/job_persistence/unknown_outcome.rs
+++ b/src/coordination/job_persistence/unknown_outcome.rs
@@ -1,4 +1,4 @@
-//! Reads the record of a job again where the outcome of a write is not known.
+//! Reads that settle the outcome of a write of a job's record that had no answer.
 
 use super::JobRecordOperation;
 use crate::coordination::controller::Controller;
@@ -19,7 +19,7 @@
         }
     }
 
-    /// Reads the record of a job, since the outcome of a write is not known or the record is not as expected.
+    /// Reads the live record of a job, since the outcome of a write is in doubt.
     fn read_live_record(&mut self, shard_id: ShardId, id: &JobId) {
         let now = self.now;
         let Some(shard) = self.shards.get_mut(&shard_id) else { return };
@@ -34,7 +34,7 @@
         let shard_id = leadership.shard;
         match answer {
             Ok(StateAnswer::Found(entry)) => self.live_record_read(shard_id, id, entry),
-            Ok(StateAnswer::Missing) => return self.read_end_record(leadership, id),
+            Ok(StateAnswer::Missing) => return self.read_final_record(leadership, id),
             _ => return self.job_call_unanswered(shard_id, id, false),
         }
         self.write_end(shard_id, id);
@@ -43,7 +43,11 @@
     fn live_record_read(&mut self, shard_id: ShardId, id: &JobId, entry: Entry) {
         let record = match serde_json::from_value::<LiveRecord>(entry.value) {
             Ok(record) => record,
-            Err(error) => return log::error!("record of job {id} can't be read: {error}"),
+            Err(error) => {
+                return log::error!(
+                    "job {id}: live record can't be read: {error}; the outcome of its last write stays in doubt"
+                );
+            }
         };
         let Some(job) = self.job_mut(shard_id, id) else { return };
         job.record.read_again(&record, entry.version, job.spec.tasks);
@@ -51,16 +55,16 @@
         self.end_cancellation_doubt(id, final_write_in_doubt);
     }
 
-    fn read_end_record(&mut self, leadership: LeadershipTerm, id: &JobId) {
+    fn read_final_record(&mut self, leadership: LeadershipTerm, id: &JobId) {
         let shard_id = leadership.shard;
         let Some(job) = self.job_mut(shard_id, id) else { return };
         job.record.call_in_flight = true;
         self.admit_next_step(TrafficClass::FinalRecord);
         let request = StateCall::Get(keys::end_key(id));
-        self.call_for_job(leadership, id, request, JobRecordOperation::ReadEnd);
+        self.call_for_job(leadership, id, request, JobRecordOperation::ReadFinal);
     }
 
-    pub(super) fn end_record_answered(&mut self, shard_id: ShardId, id: &JobId, answer: StateResult) {
+    pub(super) fn final_read_answered(&mut self, shard_id: ShardId, id: &JobId, answer: StateResult) {
         let Ok(StateAnswer::Found(entry)) = answer else {
             return self.job_call_unanswered(shard_id, id, false);
         };
--- a/src/coordination/shard_recovery/quotas.rs
+++ b/src/coordination/shard_recovery/quotas.rs
@@ -1,4 +1,5 @@
-//! The record that tells the next leader which quotas everything that still runs was started within.
+//! Updates of a shard's previous-term record, which tells the next leader under which quotas all tasks that may still
+//! run were started.
 
 use super::RecoveryOperation;
 use crate::coordination::controller::Controller;
@@ -11,8 +12,9 @@
 use crate::storage::records::{PreviousTermRecord, to_value};
 
 impl Controller {
-    /// Records for the next leader which quotas everything that still runs was started within, and that the overlap
-    /// with a deposed leader is over, as soon as either changes. See `PreviousTermRecord`.
+    /// Updates the previous-term record for the next leader when its content has changed: the quotas under which all
+    /// tasks that may still run were started, and the overlap with a deposed leader. See [`PreviousTermRecord`]. Only
+    /// one write for each shard is in flight at a time.
     pub(super) fn record_quotas(&mut self, id: ShardId) {
         let Some(shard) = self.shards.get(&id).filter(|shard| shard.is_active()) else { return };
         let Some(PreviousTerm { version, record: recorded }) = self.leadership.previous_term(id).cloned() else {
@@ -34,24 +36,24 @@
         self.call_state(request, RecoveryOperation::RecordQuotas { leadership, record });
     }
 
-    /// Returns what the record for the next leader should say.
+    /// Returns the previous-term record as it should be now. `recorded` is its content in the state service.
     fn previous_term_record(&self, shard: &Shard, recorded: &PreviousTermRecord) -> PreviousTermRecord {
         let overlap = shard.leadership.overlap.as_ref();
         let overlaps = overlap.is_some_and(|overlap| !overlap.is_over(self.now));
-        let limits = if shard.leadership.same_quotas { recorded.limits.clone() } else { self.kept_quotas(shard) };
+        let limits = if shard.leadership.same_quotas { recorded.limits.clone() } else { self.met_quotas_digest(shard) };
         PreviousTermRecord { limits, overlap: recorded.overlap.filter(|_| overlaps) }
     }
 
-    /// Returns the digest of this node's quotas, if all machines are reconciled and every team is within its quota.
-    fn kept_quotas(&self, shard: &Shard) -> Option<String> {
+    /// Returns the digest of this node's quotas if all machines are reconciled and every team is within its quota.
+    fn met_quotas_digest(&self, shard: &Shard) -> Option<String> {
         if !shard.recovery.is_complete() {
             return None;
         }
-        let are_kept = self.settings.teams.iter().all(|(team, quota)| {
+        let are_met = self.settings.teams.iter().all(|(team, quota)| {
             let used = shard.team_usage(team, &self.settings, self.cloud.types());
             quota.cpus_max.is_none_or(|max| used.cpus <= max) && quota.gpus_max.is_none_or(|max| used.gpus <= max)
         });
-        are_kept.then(|| self.settings.limits_digest.clone())
+        are_met.then(|| self.settings.limits_digest.clone())
     }
 
     pub(super) fn quotas_recorded(
