--- a/src/protocol/busy_reason.rs
+++ b/src/protocol/busy_reason.rs
@@ -1,78 +1,79 @@
-//! Why a request is not answered now.
+//! Reasons for which a client is asked to retry a request.
 
 use std::fmt;
 
-/// Why a client is asked to retry.
+/// Reason for which a client is asked to retry a request later. Refusals are counted by reason for the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum BusyReason {
-    /// The job's record cannot be parsed.
+    /// The record of the job or machine cannot be parsed.
     RecordUnreadable,
-    /// A record that is needed cannot be parsed.
+    /// The record of a prerequisite of a submitted job cannot be parsed.
     AnyRecordUnreadable,
-    /// The record of a prerequisite cannot be parsed.
+    /// The record of a prerequisite, direct or indirect, of a polled job is missing, unreadable or could not be read.
     PrerequisiteUnreadable,
-    /// The machine is being returned.
+    /// The machine is being deleted at the cloud.
     BeingReturned,
-    /// The shard's records are being read.
+    /// The new leader is still loading the shard from the records.
     BeingLoaded,
-    /// The machine's record is being written.
+    /// The machine is being registered, or this node does not lead the machine's shard.
     BeingRecorded,
-    /// No read of a machine's record is admitted now.
+    /// The rate limit does not admit the read of a machine's record now.
     TooManyMachineReads,
-    /// This node does not lead the machine's shard any more.
+    /// The leadership of the machine's shard was lost before the heartbeat was answered.
     LeadershipLost,
-    /// The machine was returned.
+    /// The machine was deleted at the cloud; the heartbeat was delayed or delivered twice.
     MachineGone,
-    /// The forecast is not made yet.
+    /// The forecast for the job has not been computed yet.
     ForecastPending,
-    /// A deposed leader may still serve reads.
+    /// A deposed leader may still serve reads, so a cancellation cannot be recorded yet.
     LeadershipOverlap,
-    /// A final write is on its way or in doubt.
+    /// The write of the job's final record is in progress or in doubt.
     FinalWritePending,
-    /// The same for a prerequisite.
+    /// The write of a prerequisite's final record is in progress or in doubt.
     PrerequisiteWritePending,
-    /// The shard has no leader that this node can reach.
+    /// No leader of the shard can be reached from this node.
     LeaderUnreachable,
-    /// Only the leader can answer.
+    /// The job has part records, so only the leader of the shard can answer.
     LeaderMustAnswer,
-    /// The machine types are not known yet.
+    /// The machine types have not been read from the cloud yet.
     NoCatalog,
-    /// The term was not confirmed lately enough to answer from memory.
+    /// The last confirmation of the leadership term is too old for serving reads from memory.
     NotConfirmed,
-    /// The leader lease is not valid.
+    /// The leader lease is not valid, so this node may not decide for the shard.
     LeaseInvalid,
-    /// There is no shard for the job's team.
+    /// The job's team is not configured, so that no shard can be chosen.
     NoShard,
-    /// This node does not lead the shard.
+    /// The node that received the request does not lead the shard.
     NotLeader,
-    /// This node cannot take requests of users.
+    /// The node is not ready to serve users.
     NotReady,
-    /// The machine was recorded before; its record is being read.
+    /// The machine already has a record, written by another shard or by a write without an answer; the record is being
+    /// read.
     RecordedBefore,
     /// The state service refused the call or did not answer.
     StateUnreachable,
-    /// The leader did not answer in time.
+    /// The leader of the shard did not answer the forwarded request in time.
     LeaderTimedOut,
-    /// The leadership changed while the job was being recorded.
+    /// The leadership of the shard changed while the job was being recorded.
     TermReplaced,
     /// The shard is being loaded, or the leader lease is not valid.
     ShardNotReady,
-    /// No read of a job's record is admitted now.
+    /// The rate limit does not admit the read of a job's record now.
     TooManyReads,
-    /// No record of a new job is admitted now.
+    /// The rate limit does not admit the write of a new job's record now.
     TooManySubmissions,
-    /// The record was written and is gone again.
+    /// The job's record existed when it was to be written, but was not found afterwards.
     TryAgain,
-    /// No write of a machine's record was admitted in time.
+    /// The rate limit did not admit the write of the machine's record in time.
     RegistrationDelayed,
-    /// The job's prerequisites are being read.
+    /// The records of the job's prerequisites are being read.
     LoadingPrerequisites,
-    /// More records would have to be read than one request may.
+    /// More records of prerequisites would have to be read than one request may read, or than the rate limit admits.
     TooManyPrerequisites,
 }
 
 impl fmt::Display for BusyReason {
-    /// Writes the text in the reply's body. Clients have been told these texts by all versions.
+    /// Writes the text for the body of the reply. The texts are part of the protocol and the same in all versions.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             BusyReason::RecordUnreadable => "its record can't be read",
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -1,48 +1,49 @@
-//! The interface to the cloud: its catalog, renting, listing and deleting machines.
+//! Interface to the cloud: its catalog, and the rental, listing and deletion of machines.
 
 use super::{CallError, Outgoing, from_json};
 use crate::model::{MachineId, MachineType, Name, Quantity, Resources};
 use crate::time::Span;
 use serde::{Deserialize, Serialize};
 
-/// How many machines are asked for in one page of the list.
+/// Number of machines requested in one page of the list.
 const PAGE_SIZE: usize = 500;
 
-/// The most machines in one deletion.
+/// Maximum number of machines in one deletion request.
 pub const MAX_DELETED: usize = 100;
 
-/// The most machines in one rental request.
+/// Maximum number of machines in one rental request.
 pub const MAX_RENTED: u32 = 50;
 
-/// The lowest rate at which machines are assumed to fetch images, in GB per second.
+/// Lower bound of the image fetch rate of a machine type in GB per second. Lower rates in the catalog are raised to it,
+/// as fetch times are computed by division.
 const MIN_FETCH_GB_PER_S: f64 = 0.001;
 
-/// The text in the answer to a rental request for which there is no machine.
+/// Text in the 503 answer to a rental request for which the cloud has no machine. Other 503 answers mean an outage.
 const NO_CAPACITY: &str = "no capacity";
 
 /// A call to the cloud.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CloudCall {
-    /// Read the machine types and their prices.
+    /// Reads the machine types and their prices.
     Catalog,
-    /// Rent machines.
+    /// Rents machines.
     Rent {
-        /// The name of the request, which is never used for another one.
+        /// Idempotency key: a name that is used for this request and its retries only.
         request: String,
-        /// The machine type.
+        /// Name of the machine type.
         kind: Name,
-        /// The zone.
+        /// Zone of the machines.
         zone: Name,
-        /// Whether to rent spot machines.
+        /// `true` to rent spot machines.
         spot: bool,
-        /// How many machines to rent.
+        /// Number of machines to rent, at most [`MAX_RENTED`].
         count: u32,
     },
-    /// Return machines.
+    /// Deletes machines, at most [`MAX_DELETED`].
     Delete(Vec<MachineId>),
-    /// Read a page of the list of machines.
+    /// Reads a page of the list of rented machines.
     List {
-        /// The machine after which the page starts.
+        /// Id of the machine after which the page starts; `None` for the first page.
         after: Option<MachineId>,
     },
 }
@@ -50,57 +51,57 @@
 /// An answer of the cloud.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CloudAnswer {
-    /// The machine types.
+    /// Machine types that the cloud offers.
     Catalog(Vec<MachineType>),
-    /// The machines that were rented, possibly fewer than asked for.
+    /// Ids of the rented machines, possibly fewer than requested.
     Rented(Vec<MachineId>),
-    /// No machine of this type, zone and kind is available.
+    /// No machine is available of this type, in this zone, as a spot or ordinary machine as requested.
     NoCapacity,
-    /// The machines are gone.
+    /// The machines were deleted.
     Deleted,
     /// A page of the list of machines.
     Machines {
-        /// The machines in the order of their ids.
+        /// Machines in ascending order of their ids.
         listed: Vec<ListedMachine>,
-        /// Whether there are further pages.
+        /// `true` if there are further pages.
         more: bool,
     },
 }
 
-/// A machine in the cloud's list, which is some seconds old.
+/// A machine in the cloud's list. The list may lag some seconds behind rentals and deletions.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListedMachine {
-    /// The machine.
+    /// Id of the machine.
     pub id: MachineId,
-    /// The machine type.
+    /// Name of the machine type.
     pub kind: Name,
-    /// The zone.
+    /// Zone of the machine.
     pub zone: Name,
-    /// Whether the machine is a spot machine.
+    /// `true` for a spot machine.
     pub spot: bool,
-    /// What the machine does.
+    /// State of the machine.
     pub state: MachineState,
-    /// The time since the machine was rented.
+    /// Time since the rental; zero if the cloud does not report it.
     pub age: Span,
 }
 
-/// `mood`: the state of a machine in the cloud's list.
+/// `mood`: state of a machine in the cloud's list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MachineState {
-    /// The machine is not up yet, and may never be.
+    /// `starting`: the machine is booting, and may never come up.
     #[serde(rename = "starting")]
     Booting,
     /// The machine is up.
     Running,
-    /// The machine stopped on its own.
+    /// The machine has stopped without having been deleted.
     Failed,
-    /// A state that is not known here.
+    /// A state that this version does not know.
     #[serde(other)]
     Other,
 }
 
-/// The answer to `GET /catalog`.
+/// Body of the answer to `GET /catalog`.
 #[derive(Deserialize)]
 struct WireCatalog {
     /// `breeds`: machine types.
@@ -111,7 +112,7 @@
 /// A machine type in the catalog.
 #[derive(Deserialize)]
 struct WireMachineType {
-    /// Name of the type.
+    /// Name of the machine type.
     label: String,
     /// CPUs of a machine.
     cores: f64,
@@ -120,89 +121,89 @@
     gpus: f64,
     /// Memory of a machine in GB.
     ram_gb: f64,
-    /// Room for cached images in GB.
+    /// Size of the image cache in GB.
     cache_gb: f64,
-    /// Rate of image fetches.
+    /// `pull_gb_per_s`: rate of image fetches in GB per second.
     #[serde(rename = "pull_gb_per_s")]
     fetch_gb_per_s: f64,
-    /// Price per hour of an ordinary machine.
+    /// `hourly`: price per hour of an ordinary machine.
     #[serde(rename = "hourly")]
     price: f64,
-    /// Price per hour of a spot machine.
+    /// Price per hour of a spot machine; `None` if it equals the price of an ordinary one.
     spot_price: Option<f64>,
-    /// Nominal boot time.
+    /// `startup_s`: nominal boot time in seconds.
     #[serde(rename = "startup_s")]
     boot_s: f64,
-    /// `roosts`: zones.
+    /// `roosts`: zones in which the type is offered.
     #[serde(rename = "roosts")]
     zones: Vec<String>,
 }
 
-/// The body of `POST /rentals`, in the order in which all versions have written it.
+/// Body of `POST /rentals`. The order of the fields is the one in which all versions serialize them.
 #[derive(Serialize)]
 struct WireRent<'a> {
-    /// `bid`: name of the request.
+    /// `bid`: idempotency key of the request.
     #[serde(rename = "bid")]
     request: &'a str,
-    /// `breed`: machine type.
+    /// `breed`: name of the machine type.
     #[serde(rename = "breed")]
     machine_type: &'a Name,
-    /// `number`: how many machines.
+    /// `number`: number of machines.
     #[serde(rename = "number")]
     count: u32,
     /// `roost`: zone.
     #[serde(rename = "roost")]
     zone: &'a Name,
-    /// `scavenged`: spot machines.
+    /// `scavenged`: `true` for spot machines.
     #[serde(rename = "scavenged")]
     spot: bool,
 }
 
-/// The answer to `POST /rentals`.
+/// Body of the answer to `POST /rentals`.
 #[derive(Deserialize)]
 struct WireRented {
-    /// `perches`: machines.
+    /// `perches`: ids of the machines.
     #[serde(rename = "perches")]
     machines: Vec<String>,
 }
 
-/// The body of `POST /rentals/delete`.
+/// Body of `POST /rentals/delete`.
 #[derive(Serialize)]
 struct WireDelete<'a> {
-    /// `perches`: machines.
+    /// `perches`: ids of the machines.
     #[serde(rename = "perches")]
     machines: &'a [MachineId],
 }
 
-/// The answer to `GET /rentals`.
+/// Body of the answer to `GET /rentals`.
 #[derive(Deserialize)]
 struct WireList {
     /// `perches`: machines.
     #[serde(rename = "perches")]
     machines: Vec<WireListedMachine>,
-    /// Whether there are further pages.
+    /// `true` if there are further pages.
     #[serde(default)]
     truncated: bool,
 }
 
-/// A machine in the list.
+/// A machine in the answer to `GET /rentals`.
 #[derive(Deserialize)]
 struct WireListedMachine {
-    /// The machine.
+    /// Id of the machine.
     id: String,
-    /// `breed`: machine type.
+    /// `breed`: name of the machine type.
     #[serde(rename = "breed")]
     machine_type: String,
     /// `roost`: zone.
     #[serde(rename = "roost")]
     zone: String,
-    /// `scavenged`: spot machine.
+    /// `scavenged`: `true` for a spot machine.
     #[serde(rename = "scavenged", default)]
     spot: bool,
     /// `mood`: state.
     #[serde(rename = "mood")]
     state: MachineState,
-    /// `held_s`: time since the rental request.
+    /// `held_s`: time in seconds since the rental request.
     #[serde(rename = "held_s", default)]
     age_s: Option<f64>,
 }
@@ -233,10 +234,12 @@
         }
     }
 
+    /// Returns `true` if the body of a 503 answer says that the cloud has no machine for a rental.
     fn has_no_capacity(&self, body: &[u8]) -> bool {
         matches!(self, CloudCall::Rent { .. }) && String::from_utf8_lossy(body).contains(NO_CAPACITY)
     }
 
+    /// Parses the body of an answer with status 200.
     fn success(&self, status: u16, body: &[u8]) -> Result<CloudAnswer, CallError> {
         match self {
             CloudCall::Catalog => Ok(from_json::<WireCatalog>(status, body)?.into()),
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -1,22 +1,23 @@
-//! The wire formats of crowstall: HTTP with users, workers, the cloud and the state service, and CBOR between
+//! Wire formats of crowstall: JSON over HTTP for users, workers, the cloud and the state service, and CBOR between
 //! controllers.
 //!
-//! The protocol has words of its own for most things. Each wire struct in this module documents its fields as
-//! "protocol word: term"; the rest of the program uses the terms only. The words that recur:
+//! Many names in the HTTP protocol differ from the usual terms of the field. The wire structs in this module translate
+//! them: a field's documentation has the form "`protocol name`: term". The rest of the program uses only the terms.
+//! Protocol names that occur in several messages:
 //!
-//! | protocol | term |
+//! | protocol name | term |
 //! | --- | --- |
 //! | `brood`, `flock`, `gait`, `pecking` | class, team, kind and priority of a job |
 //! | `clutch` | the tasks of a job or of a machine |
 //! | `egg`, `hatch` | task id, attempt number |
-//! | `perch` | machine (and the label of a controller) |
+//! | `perch` | machine (also the label of a controller) |
 //! | `breed`, `roost`, `scavenged` | machine type, zone, spot machine |
 //! | `plumage` | image |
 //! | `awaits` | prerequisites |
 //! | `flight_s`, `cache_s`, `stash_s`, `dusk_s` | estimated run time, checkpoint interval, time to save, deadline |
 //! | `mood` | state |
-//! | `sitting`, `caw`, `crest`, `shoo_s` | agent epoch, message number, fencing token, spot notice |
-//! | `call`, `settle_s` | command, grace period |
+//! | `sitting`, `caw`, `crest`, `shoo_s` | agent epoch, sequence number, fencing token, reclaim notice |
+//! | `call`, `settle_s` | command, grace period for saving progress |
 //! | `rookery` | controller to report to |
 //! | `tally`, `molt`, `tenure` | revision of the store, revision of a key, lease |
 
@@ -32,20 +33,20 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Seconds after which a client that was turned away for the moment should retry.
+/// Retry delay in seconds of a [`Reply::busy`].
 const RETRY_AFTER_S: u32 = 1;
 
-/// The status with which a client is turned away because more is asked than the cluster can do.
+/// HTTP status of a request that is refused for overload.
 const STATUS_OVERLOADED: u16 = 429;
 
-/// An HTTP request to another service, ready for transport.
+/// An HTTP request to another service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Outgoing {
-    /// The HTTP method.
+    /// HTTP method.
     pub method: &'static str,
-    /// The path with its query.
+    /// Path with the query string.
     pub path: String,
-    /// The JSON body, if there is one.
+    /// JSON body; `None` for a request without a body.
     pub body: Option<Vec<u8>>,
 }
 
@@ -55,43 +56,46 @@
         Outgoing { method: "GET", path, body: None }
     }
 
+    /// Returns a `POST` request with `body` as JSON.
     fn post(path: impl Into<String>, body: &impl Serialize) -> Outgoing {
         Outgoing { method: "POST", path: path.into(), body: Some(to_json(body)) }
     }
 }
 
-/// An answer to a user or a worker. Controllers also send it to each other for forwarded requests.
+/// A reply to a user or a worker. Controllers also send replies to forwarded requests to each other.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Reply {
-    /// The HTTP status.
+    /// HTTP status.
     pub status: u16,
-    /// The JSON body.
+    /// JSON body.
     pub body: String,
-    /// Seconds after which the client should retry, for the header `Retry-After`.
+    /// Retry delay in seconds for the header `Retry-After`; `None` for a reply without this header.
     pub retry_after: Option<u32>,
-    /// Why the client is asked to retry, if this controller decided so. Not sent to other controllers.
+    /// Reason of a refusal by this controller, for its statistics; `None` for all other replies. Not sent to other
+    /// controllers.
     #[serde(skip)]
     pub busy_reason: Option<BusyReason>,
 }
 
 impl Reply {
-    /// Returns an answer with `body` as JSON.
+    /// Returns a reply with `body` as JSON.
     pub fn json(status: u16, body: &impl Serialize) -> Reply {
         let body = String::from_utf8(to_json(body)).unwrap_or_default();
         Reply { status, body, retry_after: None, busy_reason: None }
     }
 
-    /// Returns an answer that gives the reason of a failure.
+    /// Returns a reply whose body has `reason` as the error text.
     pub fn error(status: u16, reason: &str) -> Reply {
         Reply::json(status, &ErrorBody { error: reason })
     }
 
-    /// Returns a 503 that asks the client to retry soon.
+    /// Returns a 503 that asks the client to retry after one second.
     pub fn busy(reason: BusyReason) -> Reply {
         Reply::retry_later(503, reason, RETRY_AFTER_S)
     }
 
-    /// Returns a 429 that asks the client to retry after so many seconds. No other controller is asked instead.
+    /// Returns a 429 that asks the client to retry after the given number of seconds. The request is not sent to
+    /// another controller instead.
     pub fn overloaded(reason: BusyReason, retry_after_s: u32) -> Reply {
         Reply::retry_later(STATUS_OVERLOADED, reason, retry_after_s)
     }
@@ -102,33 +106,36 @@
     }
 }
 
+/// Body of a reply with an error text.
 #[derive(Serialize)]
 struct ErrorBody<'a> {
     error: &'a str,
 }
 
-/// Why a call to another service brought no usable answer.
+/// Error of a call to another service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CallError {
-    /// The service did not execute the request.
+    /// The service refused the request and did not execute it.
     #[error("refused")]
     Refused {
-        /// True if the rate limit was exceeded, false in an outage.
+        /// `true` if the rate limit was exceeded, `false` in an outage of the service.
         over_limit: bool,
     },
-    /// The request may have been executed, or may still be executed later.
+    /// The outcome is in doubt: the request may have been executed, or may still be executed later.
     #[error("no answer")]
     NoAnswer,
-    /// The answer, of this status, is not one that the protocol provides for.
+    /// The protocol does not provide for the answer, because of its HTTP status, given here, or of its body.
     #[error("unexpected answer with status {0}")]
     Unexpected(u16),
 }
 
+/// Returns `value` as JSON.
 fn to_json(value: &impl Serialize) -> Vec<u8> {
-    // Every type that is written here has text keys and finite numbers, so this cannot fail.
+    // Serialization cannot fail: all types that are written here have text keys and finite numbers only.
     serde_json::to_vec(value).unwrap_or_default()
 }
 
+/// Parses the JSON body of an answer with the given HTTP status.
 fn from_json<'a, T: Deserialize<'a>>(status: u16, body: &'a [u8]) -> Result<T, CallError> {
     serde_json::from_slice(body).map_err(|_| CallError::Unexpected(status))
 }
--- a/src/protocol/peer_heartbeat_pages.rs
+++ b/src/protocol/peer_heartbeat_pages.rs
@@ -1,29 +1,31 @@
-//! What one peer heartbeat carries of the lists that grow with the fleet.
+//! Pagination of the lists in peer heartbeats that grow with the fleet.
 //!
-//! A heartbeat is one frame, and a frame that is too large ends the connection: its sender would fall silent and be
-//! replaced as a leader. So a heartbeat carries at most one page of each list, and the next heartbeat the next page.
-//! Receivers accumulate the rented machines and take idle ones as they are offered, so no information is lost.
+//! A heartbeat is one frame, and a connection is closed on a frame that is too large: heartbeats would no longer
+//! arrive, and their sender would be replaced as a leader. A heartbeat therefore carries at most one page of each list,
+//! and consecutive heartbeats carry the pages in turn. Receivers accumulate the rented machines and request idle
+//! machines from the page that offers them, so no information is lost.
 
 use super::peers::MachineOffer;
 use crate::model::{MachineId, ShardId};
 
-/// The most bytes that a page of rented machines takes. Together with a page of idle machines it leaves room for the
-/// rest of the heartbeat in a frame of 1 MiB, which is what older versions read.
+/// Maximum size of a page of rented machines in bytes. Older versions accept frames of up to 1 MiB; a page of rented
+/// and a page of idle machines leave space for the rest of the heartbeat in such a frame.
 const MAX_RENTED_BYTES: usize = 256 * 1024;
-/// The most bytes that a page of idle machines takes.
+/// Maximum size of a page of idle machines in bytes.
 const MAX_SPARE_BYTES: usize = 512 * 1024;
 
-/// The most that an entry of the rented machines takes in CBOR besides its text: headers and numbers.
+/// Upper bound of the size in bytes of a rented machine's entry in CBOR, not counting the id: headers and numbers.
 const RENTED_OVERHEAD: usize = 12;
-/// The same for an offered machine, whose field names are written too.
+/// Upper bound of the size in bytes of an offered machine's entry in CBOR, not counting id, type and zone: headers and
+/// field names.
 const OFFER_OVERHEAD: usize = 40;
 
-/// The page of machines rented and not registered yet that the heartbeat of the given number carries.
+/// Returns the page of rented, not yet registered machines for the heartbeat with the given number.
 pub fn rented_page(rented: Vec<(MachineId, ShardId)>, heartbeat: u64) -> Vec<(MachineId, ShardId)> {
     page(rented, |(machine, _)| RENTED_OVERHEAD + machine.as_str().len(), MAX_RENTED_BYTES, heartbeat)
 }
 
-/// The page of idle machines that the heartbeat of the given number offers.
+/// Returns the page of idle machines for the heartbeat with the given number.
 pub fn spare_page(spare: Vec<MachineOffer>, heartbeat: u64) -> Vec<MachineOffer> {
     let bytes = |offer: &MachineOffer| {
         OFFER_OVERHEAD + offer.machine.as_str().len() + offer.kind.as_str().len() + offer.zone.as_str().len()
@@ -31,7 +33,8 @@
     page(spare, bytes, MAX_SPARE_BYTES, heartbeat)
 }
 
-/// Divides the entries into pages of at most `max_bytes` and returns the one whose turn it is.
+/// Divides the entries into pages of at most `max_bytes` and returns the page with the number `heartbeat` modulo the
+/// number of pages.
 fn page<T>(entries: Vec<T>, bytes_of: impl Fn(&T) -> usize, max_bytes: usize, turn: u64) -> Vec<T> {
     let mut pages: Vec<Vec<T>> = Vec::new();
     let mut used = 0;
--- a/src/protocol/peers.rs
+++ b/src/protocol/peers.rs
@@ -1,7 +1,7 @@
-//! Messages between controllers, written in CBOR, one to a frame.
+//! Messages between controllers, serialized as CBOR, one message in each frame.
 //!
-//! The serialized names are those of the first version and stay as they are, so that controllers of different
-//! versions understand each other during an upgrade. A version that does not know a message drops it.
+//! The serialized names never change, so that controllers of different versions understand each other during an
+//! upgrade. A controller drops messages that its version does not know.
 
 use super::Reply;
 use super::workers::WorkerHeartbeat;
@@ -9,140 +9,141 @@
 use crate::time::Span;
 use serde::{Deserialize, Serialize};
 
-/// The version of the messages that this program understands, sent in every [`PeerMessage::Heartbeat`].
+/// Version of the messages that this program understands. Sent in every [`PeerMessage::Heartbeat`].
 pub const MESSAGE_VERSION: u32 = 1;
 
-/// The version from which on [`ForwardedRequest::SubmitWaiting`] is understood.
+/// First [`MESSAGE_VERSION`] that understands [`ForwardedRequest::SubmitWaiting`].
 pub const WAITING_JOBS_VERSION: u32 = 1;
 
-/// How deeply the values in a message may be nested.
+/// Maximum nesting depth of the values in a received message.
 const MAX_NESTING: usize = 16;
 
-/// A frame on a connection between controllers.
+/// Content of a frame on a connection between controllers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Envelope {
-    /// The sender.
+    /// Label of the sender.
     pub from: NodeLabel,
-    /// What is sent.
+    /// Message of the sender.
     pub message: PeerMessage,
 }
 
 /// A message to another controller.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// The periodic message with the sender's status.
+    /// Periodic message with the sender's status.
     #[serde(rename = "Beat")]
     Heartbeat {
-        /// Whether the sender has a valid lease at the state service.
+        /// `true` if the sender holds a valid node lease.
         #[serde(rename = "entitled")]
         holds_lease: bool,
-        /// Whether the sender has finished its start and can lead a shard.
+        /// `true` if the sender has finished its start and can lead a shard.
         ready: bool,
-        /// The shards that the sender leads, each with its leadership term.
+        /// Shards that the sender leads, each with its leadership term.
         #[serde(rename = "held")]
         led: Vec<(ShardId, Revision)>,
-        /// Machines that were rented for those shards and are not recorded yet.
+        /// Machines that were rented for the sender's shards and have no record yet; one page, see
+        /// [`peer_heartbeat_pages`](super::peer_heartbeat_pages).
         rented: Vec<(MachineId, ShardId)>,
-        /// Idle machines of those shards that other shards may have.
+        /// Idle machines of the sender's shards that are offered to other shards; one page.
         spare: Vec<MachineOffer>,
-        /// The sender's incarnation; 0 from a version that does not send it.
+        /// Incarnation of the sender; 0 from a version that does not send it.
         #[serde(rename = "life", default)]
         incarnation: u64,
-        /// The newest leadership term that the sender knows of each shard.
+        /// Newest leadership term of each shard that the sender knows.
         #[serde(default)]
         known: Vec<(ShardId, Revision)>,
-        /// How long the state service has not answered the sender.
+        /// Time for which the state service has not answered the sender.
         #[serde(rename = "state_quiet", default)]
         state_silence: Span,
-        /// How long ago the sender received a heartbeat from each of the other controllers.
+        /// Time since the sender last received a heartbeat from each of the other controllers.
         #[serde(rename = "hears", default)]
         peer_ages: Vec<(NodeLabel, Span)>,
-        /// The sender's [`MESSAGE_VERSION`]; 0 from a version that does not send it.
+        /// [`MESSAGE_VERSION`] of the sender; 0 from a version that does not send it.
         #[serde(rename = "speaks", default)]
         message_version: u32,
     },
-    /// A request of a user or a worker that the receiver must decide, since it leads the shard.
+    /// A request of a user or a worker, forwarded to the leader of the shard that it concerns.
     #[serde(rename = "Ask")]
     ClientRequest {
-        /// The number that the [`PeerMessage::Answer`] has to repeat.
+        /// Number that identifies the request in the [`PeerMessage::Answer`].
         number: u64,
-        /// The shard that the request concerns.
+        /// Shard that the request concerns.
         shard: ShardId,
-        /// The request.
+        /// Forwarded request.
         #[serde(rename = "ask")]
         client_request: ForwardedRequest,
     },
-    /// The reply to a forwarded request.
+    /// Reply to a forwarded request.
     Answer {
-        /// The number of the request.
+        /// Number of the request.
         number: u64,
-        /// The reply for the user or worker.
+        /// Reply for the user or worker.
         reply: Reply,
     },
     /// The sender has released a shard for the receiver, which may acquire it at once.
     Released {
-        /// The shard.
+        /// Shard that was released.
         shard: ShardId,
     },
-    /// A shard of the sender wants a machine that the receiver has offered.
+    /// The sender requests a machine that the receiver has offered.
     Take {
-        /// The machine.
+        /// Id of the machine.
         machine: MachineId,
-        /// The shard that wants the machine.
+        /// Shard of the sender for which the machine is requested.
         shard: ShardId,
     },
     /// A machine was transferred to a shard of the receiver.
     Moved {
-        /// The machine.
+        /// Id of the machine.
         machine: MachineId,
-        /// The shard that has the machine now.
+        /// Shard to which the machine belongs now.
         shard: ShardId,
     },
 }
 
-/// An idle machine that another shard may have.
+/// An idle machine that is offered to other shards.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineOffer {
-    /// The machine.
+    /// Id of the machine.
     pub machine: MachineId,
-    /// The machine type.
+    /// Name of the machine type.
     pub kind: Name,
-    /// The zone.
+    /// Zone of the machine.
     pub zone: Name,
-    /// Whether the machine is a spot machine.
+    /// `true` for a spot machine.
     pub spot: bool,
 }
 
-/// A request of a user or a worker that is passed to the controller that leads the shard.
+/// A request of a user or a worker that is forwarded to the leader of the shard.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ForwardedRequest {
-    /// Accept a job without prerequisites.
+    /// Accepts a job without prerequisites.
     Submit(Box<JobSpec>),
-    /// Return a job's state.
+    /// Returns the state of a job.
     Poll(JobId),
-    /// Cancel a job.
+    /// Cancels a job.
     Cancel(JobId),
-    /// Return when a job is expected to be done.
+    /// Returns the time by which a job is expected to be done.
     Forecast(JobId),
-    /// A heartbeat of a worker that does not reach the leader of the shard itself.
+    /// Relays a heartbeat of a worker that does not reach the leader of the shard.
     #[serde(rename = "Report")]
     WorkerHeartbeat(Box<WorkerHeartbeat>),
-    /// Accept a job with prerequisites. This is a variant of its own so that a version that does not know
-    /// prerequisites drops the message, where it would have ignored the field and started the job at once.
+    /// Accepts a job with prerequisites. A version without support for prerequisites drops the unknown variant. In
+    /// [`ForwardedRequest::Submit`] it would ignore the field and start the job at once.
     SubmitWaiting(Box<JobSpec>),
 }
 
-/// Returns the frame for `envelope`.
+/// Serializes `envelope` as the content of a frame.
 pub fn encode(envelope: &Envelope) -> Vec<u8> {
     let mut bytes = Vec::new();
-    // Writing to a vector does not fail, and serializing these types does not either.
+    // Neither writing to a vector nor the serialization of these types can fail.
     if ciborium::into_writer(envelope, &mut bytes).is_err() {
         bytes.clear();
     }
     bytes
 }
 
-/// Reads a frame. Returns `None` if it is no message that this version knows.
+/// Parses the content of a frame. Returns `None` if it is malformed or has a message that this version does not know.
 pub fn decode(bytes: &[u8]) -> Option<Envelope> {
     ciborium::de::from_reader_with_recursion_limit(bytes, MAX_NESTING).ok()
 }
--- a/src/protocol/state/mod.rs
+++ b/src/protocol/state/mod.rs
@@ -1,4 +1,4 @@
-//! The interface to the state service: a key-value store with transactions, leases and watches.
+//! Interface to the state service, a key-value store with transactions, leases and watches.
 
 mod condition;
 mod wire;
@@ -10,98 +10,99 @@
 use serde_json::Value;
 use wire::{WireChanges, WireCommit, WireCommitted, WireConflict, WireEntry, WireGrant, WireLease, WirePage};
 
-/// How many entries are asked for in one page of a list.
+/// Number of entries requested in one page of a list.
 const PAGE_SIZE: u32 = 500;
 
-/// The text in the answer to a transaction that names a lease which has expired.
+/// Text in the 400 answer to a transaction that attaches a key to an expired lease.
 const NO_SUCH_LEASE: &[u8] = b"no such lease";
 
 /// A call to the state service.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StateCall {
-    /// Read one key.
+    /// Reads one key.
     Get(String),
-    /// Read a page of the keys with a prefix.
+    /// Reads a page of the keys with a prefix, in ascending order.
     List {
-        /// The prefix of the keys.
+        /// Prefix of the keys.
         prefix: &'static str,
-        /// The key after which the page starts.
+        /// Key after which the page starts; `None` for the first page.
         after: Option<String>,
     },
-    /// Read what has changed since a revision, without waiting for further changes.
+    /// Reads the changes since a revision, without waiting for further changes.
     Watch {
-        /// The prefix of the keys.
+        /// Prefix of the keys.
         prefix: &'static str,
-        /// The revision after which changes are wanted.
+        /// Revision after which the changes start.
         after: Revision,
     },
-    /// Apply changes in one transaction, if all conditions hold.
+    /// Applies all changes in one transaction, or none of them if a condition does not hold.
     Commit {
-        /// The versions that keys must have.
+        /// Preconditions of the transaction.
         conditions: Vec<Condition>,
-        /// What to change.
+        /// Changes to apply.
         changes: Vec<Change>,
     },
-    /// Acquire a lease.
+    /// Acquires a lease.
     Grant {
-        /// The lease expires if it is not renewed for this long.
+        /// Time to live in milliseconds: the lease expires if it is not renewed for that long.
         ttl_ms: u64,
     },
-    /// Renew a lease.
+    /// Renews a lease.
     KeepAlive(LeaseId),
 }
 
 /// A change in a transaction.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
-    /// Write a key.
+    /// Writes a key.
     Put {
-        /// The key.
+        /// Key of the record.
         key: String,
-        /// The record.
+        /// Value of the key.
         value: Value,
-        /// The lease with which the key is removed, if any.
+        /// Lease to which the key is attached, so that the key is removed when the lease ends; `None` for a key that
+        /// stays until it is deleted.
         lease: Option<LeaseId>,
     },
-    /// Delete a key.
+    /// Deletes a key.
     Delete(String),
 }
 
 /// A key with its value.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
-    /// The key.
+    /// Key of the record.
     pub key: String,
-    /// The record.
+    /// Value of the key.
     pub value: Value,
-    /// The revision of the key's last change.
+    /// Revision of the key's last change.
     pub version: Revision,
-    /// The lease to which the key is attached, if any.
+    /// Lease to which the key is attached; `None` if the key is not attached to a lease.
     pub lease: Option<LeaseId>,
 }
 
-/// A change that a watch has returned.
+/// A change in the answer to a watch.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LogEntry {
     /// A key was written.
     Set {
-        /// The key.
+        /// Key of the record.
         key: String,
-        /// The record.
+        /// Value of the key.
         value: Value,
-        /// The revision of the change.
+        /// Revision of the change.
         version: Revision,
     },
-    /// A key was deleted, or removed with its lease.
+    /// A key was deleted, or was removed because its lease ended.
     Delete {
-        /// The key.
+        /// Key of the record.
         key: String,
-        /// The revision of the change.
+        /// Revision of the change.
         version: Revision,
     },
 }
 
-/// The outcome of a call to the state service: its answer, or why there is none.
+/// Result of a call to the state service.
 pub type StateResult = Result<StateAnswer, CallError>;
 
 /// An answer of the state service.
@@ -113,36 +114,36 @@
     Missing,
     /// A page of a list.
     Page {
-        /// Entries in the order of their keys.
+        /// Entries in ascending order of their keys.
         entries: Vec<Entry>,
-        /// Whether there are further pages.
+        /// `true` if there are further pages.
         more: bool,
-        /// The revision of the store when the page was made.
+        /// Revision of the store at which the page was read.
         revision: Revision,
     },
-    /// All changes from the revision asked for to this one.
+    /// All changes after the requested revision, up to `revision`.
     Changes {
-        /// The changes, oldest first.
+        /// Changes, oldest first.
         log: Vec<LogEntry>,
-        /// The revision of the store.
+        /// Revision of the store.
         revision: Revision,
     },
-    /// Some changes since the revision asked for are no longer kept.
+    /// Changes since the requested revision are unavailable: some are no longer kept, or the answer is too large.
     Compacted,
     /// The transaction was applied at this revision.
     Committed(Revision),
-    /// The transaction was not applied; these keys had other versions.
+    /// The transaction was not applied, since these keys had other versions than required.
     Conflict(Vec<String>),
-    /// The lease that was acquired.
+    /// A lease was acquired.
     Granted(LeaseId),
     /// The lease was renewed.
     KeptAlive,
-    /// The lease has expired.
+    /// The lease to be renewed, or to attach a key to, has expired.
     LeaseExpired,
 }
 
 impl LogEntry {
-    /// Returns the key that was changed.
+    /// Returns the key that was written or deleted.
     pub fn key(&self) -> &str {
         match self {
             LogEntry::Set { key, .. } | LogEntry::Delete { key, .. } => key,
@@ -158,14 +159,14 @@
 }
 
 impl StateAnswer {
-    /// Whether a commit failed because the given key had another version.
+    /// Returns `true` if a transaction was not applied because the given key had another version.
     pub fn is_conflict_on(&self, key: &str) -> bool {
         matches!(self, StateAnswer::Conflict(failed) if failed.iter().any(|failed| failed == key))
     }
 }
 
 impl StateCall {
-    /// Returns how many writes the call counts towards the rate limit on writes.
+    /// Returns the number of writes that count towards the rate limit on writes: one for each change.
     pub fn writes(&self) -> usize {
         match self {
             StateCall::Commit { changes, .. } => changes.len(),
@@ -204,12 +205,13 @@
             (410 | 413, StateCall::Watch { .. }) => Ok(StateAnswer::Compacted),
             (429, _) => Err(CallError::Refused { over_limit: true }),
             (503, _) => Err(CallError::Refused { over_limit: false }),
-            // A server's own failure says nothing about whether the request was executed.
+            // After an internal error of the server, the request may or may not have been executed.
             (500.., _) => Err(CallError::NoAnswer),
             _ => Err(CallError::Unexpected(status)),
         }
     }
 
+    /// Parses the body of an answer with status 200.
     fn success(&self, status: u16, body: &[u8]) -> Result<StateAnswer, CallError> {
         match self {
             StateCall::Get(_) => Ok(StateAnswer::Found(from_json::<WireEntry>(status, body)?.into())),
@@ -224,6 +226,7 @@
     }
 }
 
+/// Returns the path and query for a page of a list.
 fn list_path(prefix: &str, after: Option<&str>) -> String {
     match after {
         Some(after) => format!("/keys?prefix={prefix}&after={after}&page={PAGE_SIZE}"),
@@ -231,6 +234,7 @@
     }
 }
 
+/// Returns `true` if `needle` occurs in `body`.
 fn contains(body: &[u8], needle: &[u8]) -> bool {
     body.windows(needle.len()).any(|part| part == needle)
 }
--- a/src/protocol/state/wire.rs
+++ b/src/protocol/state/wire.rs
@@ -1,6 +1,7 @@
-//! The JSON bodies of the state service.
+//! JSON bodies of the state service's requests and answers.
 //!
-//! Bodies that are sent have their fields in alphabetical order, as all versions have written them.
+//! The fields of request bodies are declared in the alphabetical order of their serialized names, in which all versions
+//! write them.
 
 use super::{Change, Condition, Entry, LogEntry, StateAnswer};
 use crate::model::{LeaseId, Revision};
@@ -20,7 +21,7 @@
     /// `molt`: revision of the key's last change.
     #[serde(rename = "molt")]
     version: u64,
-    /// `tenure`: lease to which the key is attached.
+    /// `tenure`: lease to which the key is attached, if any.
     #[serde(rename = "tenure")]
     lease: Option<u64>,
 }
@@ -28,9 +29,9 @@
 /// A page of a list.
 #[derive(Deserialize)]
 pub(super) struct WirePage {
-    /// Entries in the order of their keys.
+    /// Entries in ascending order of their keys.
     entries: Vec<WireEntry>,
-    /// Whether there are further pages.
+    /// `true` if there are further pages.
     #[serde(default)]
     truncated: bool,
     /// `tally`: revision of the store.
@@ -41,11 +42,11 @@
 /// A change in the answer to a watch: `set` with `data`, or `delete`.
 #[derive(Deserialize)]
 struct WireLogEntry {
-    /// The key, if it was written.
+    /// Key, if the change is a write.
     set: Option<String>,
-    /// The key, if it was deleted.
+    /// Key, if the change is a deletion.
     delete: Option<String>,
-    /// `data`: value.
+    /// `data`: value; null for a deletion.
     #[serde(rename = "data", default)]
     value: Value,
     /// `molt`: revision of the change.
@@ -53,18 +54,18 @@
     version: u64,
 }
 
-/// The answer to a watch.
+/// Body of the answer to a watch.
 #[derive(Deserialize)]
 pub(super) struct WireChanges {
     /// `tally`: revision of the store.
     #[serde(rename = "tally")]
     revision: u64,
-    /// The changes, oldest first.
+    /// Changes, oldest first.
     #[serde(default)]
     log: Vec<WireLogEntry>,
 }
 
-/// The answer to a transaction that was applied.
+/// Body of the answer to a transaction that was applied.
 #[derive(Deserialize)]
 pub(super) struct WireCommitted {
     /// `tally`: revision of the transaction.
@@ -72,15 +73,15 @@
     pub(super) revision: u64,
 }
 
-/// The answer to a transaction that was not applied.
+/// Body of the answer to a transaction that was not applied.
 #[derive(Deserialize)]
 pub(super) struct WireConflict {
-    /// Keys that had other versions.
+    /// Keys that had other versions than the conditions require.
     #[serde(default)]
     pub(super) failed: Vec<String>,
 }
 
-/// The answer to the request for a lease.
+/// Body of the answer to a request for a lease.
 #[derive(Deserialize)]
 pub(super) struct WireLease {
     /// `tenure`: lease.
@@ -88,15 +89,15 @@
     pub(super) lease: u64,
 }
 
-/// The body of `POST /holds`, the request for a lease.
+/// Body of `POST /holds`, the request for a lease.
 #[derive(Serialize)]
 pub(super) struct WireGrant {
-    /// `life_ms`: time to live.
+    /// `life_ms`: time to live in milliseconds.
     #[serde(rename = "life_ms")]
     pub(super) ttl_ms: u64,
 }
 
-/// The body of `POST /commit`.
+/// Body of `POST /commit`, a transaction.
 #[derive(Serialize)]
 pub(super) struct WireCommit<'a> {
     /// `apply`: changes.
@@ -107,7 +108,7 @@
     conditions: Vec<WireCondition<'a>>,
 }
 
-/// A key and the version that it must have.
+/// A precondition of a transaction: a key and its required version.
 #[derive(Serialize)]
 struct WireCondition<'a> {
     /// `k`: key.
@@ -122,7 +123,7 @@
 #[derive(Serialize)]
 #[serde(untagged)]
 enum WireChange<'a> {
-    /// Write a key.
+    /// Writes a key.
     Put {
         /// `data`: value.
         #[serde(rename = "data")]
@@ -134,7 +135,7 @@
         #[serde(rename = "tenure", skip_serializing_if = "Option::is_none")]
         lease: Option<LeaseId>,
     },
-    /// Delete a key.
+    /// Deletes a key.
     Delete {
         /// `delete`: key.
         #[serde(rename = "delete")]
@@ -197,7 +198,8 @@
         match (wire.set, wire.delete) {
             (Some(key), None) => Ok(LogEntry::Set { key, value: wire.value, version }),
             (None, Some(key)) => Ok(LogEntry::Delete { key, version }),
-            // A change of an unknown kind must not be skipped: the replica would miss it.
+            // A change of an unknown kind is an error: if it was skipped, the replica would differ from the store
+            // without notice.
             _ => Err(CallError::Unexpected(200)),
         }
     }
--- a/src/protocol/users/mod.rs
+++ b/src/protocol/users/mod.rs
@@ -1,6 +1,6 @@
-//! The interface for users: submitting, polling, cancelling and forecasting jobs.
+//! Interface for users: submission, polling, cancellation and forecasts of jobs.
 //!
-//! Workers send their heartbeats to the same address, so [`parse`] recognises these too.
+//! Workers send their heartbeats to the same address, so [`parse`] accepts these too.
 
 mod submission;
 mod views;
@@ -12,31 +12,33 @@
 use super::workers::{self, WorkerHeartbeat};
 use crate::model::{JobId, JobSpec};
 
+/// Prefix of all job ids.
 const JOB_ID_PREFIX: &str = "wk-";
+/// Maximum number of digits in a job id.
 const MAX_JOB_ID_DIGITS: usize = 32;
 
-/// What a request of a user or a worker asks for.
+/// A request of a user or a worker.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClientRequest {
-    /// Submit a job, or find out that the description is invalid.
+    /// Submits a job. An invalid submission is kept as an error, since it may repeat the id of an accepted job.
     Submit(Result<JobSpec, InvalidJob>),
-    /// Return a job's state.
+    /// Returns the state of a job.
     Poll(JobId),
-    /// Cancel a job.
+    /// Cancels a job.
     Cancel(JobId),
-    /// Return when a job is expected to be done.
+    /// Returns the time by which a job is expected to be done.
     Forecast(JobId),
-    /// Return how the shards of this controller recovered.
+    /// Returns the reports of the recoveries of this controller's shards.
     Recoveries,
-    /// Return whether this controller can take requests.
+    /// Returns 200 if this controller is ready for requests of users, and 503 otherwise.
     Up,
     /// A worker's heartbeat.
     WorkerHeartbeat(Box<WorkerHeartbeat>),
-    /// A request whose reply does not depend on any state.
+    /// A request whose reply does not depend on the state of the cluster, such as a malformed one.
     Fixed(Reply),
 }
 
-/// Returns the job id, if `text` has the form that the protocol prescribes: `wk-` and digits.
+/// Parses a job id: `wk-` and up to 32 digits. Returns `None` if `text` has another form.
 pub fn parse_job_id(text: &str) -> Option<JobId> {
     let digits = text.strip_prefix(JOB_ID_PREFIX)?;
     let is_valid = (1..=MAX_JOB_ID_DIGITS).contains(&digits.len()) && digits.bytes().all(|b| b.is_ascii_digit());
@@ -53,7 +55,8 @@
     endpoint.parse(body)
 }
 
-/// What a path addresses. The text in a variant is where the path has a job's id.
+/// An endpoint, identified by its path. The text in a variant is the part of the path in place of a job id, not
+/// validated.
 enum Endpoint<'a> {
     /// `POST /hello`
     Heartbeat,
@@ -72,6 +75,7 @@
 }
 
 impl<'a> Endpoint<'a> {
+    /// Returns the endpoint with the given path, or `None` if there is none.
     fn of_path(path: &'a str) -> Option<Endpoint<'a>> {
         match path {
             "/hello" => Some(Endpoint::Heartbeat),
@@ -82,6 +86,7 @@
         }
     }
 
+    /// Returns the endpoint for a path below `/v1/jobs/`, given without that prefix.
     fn of_job_path(path: &'a str) -> Option<Endpoint<'a>> {
         let endpoint = match path.rsplit_once('/') {
             Some((id, "cancel")) => Endpoint::Cancel(id),
@@ -92,6 +97,7 @@
         (!id.contains('/')).then_some(endpoint)
     }
 
+    /// Returns the only HTTP method that the endpoint accepts.
     fn method(&self) -> &'static str {
         match self {
             Endpoint::Heartbeat | Endpoint::Submit | Endpoint::Cancel(_) => "POST",
@@ -99,6 +105,7 @@
         }
     }
 
+    /// Parses a request to the endpoint.
     fn parse(&self, body: &[u8]) -> ClientRequest {
         match self {
             Endpoint::Heartbeat => match workers::parse_heartbeat(body) {
--- a/src/protocol/users/submission.rs
+++ b/src/protocol/users/submission.rs
@@ -1,4 +1,4 @@
-//! Reading and checking the description of a job.
+//! Parsing and validation of submitted jobs.
 
 use super::parse_job_id;
 use crate::model::{JobId, JobKind, JobSpec, Name, Priority, Quantity, Resources};
@@ -7,24 +7,27 @@
 use std::collections::BTreeSet;
 use thiserror::Error;
 
+/// Maximum number of tasks of a job.
 const MAX_TASKS: u32 = 100_000;
+/// Maximum of all amounts: resources of a task, sizes in GB and times in seconds.
 const MAX_AMOUNT: f64 = 1e9;
+/// Maximum length in bytes of a class, a team, an image, a machine type or a zone.
 const MAX_NAME_BYTES: usize = 200;
-/// The most machine types and zones that a job may name.
+/// Maximum number of machine types and zones, taken together, to which a job may be restricted.
 const MAX_ALLOWED_PLACES: usize = 64;
 
-/// A submission that is not valid.
+/// Error for an invalid submission.
 #[derive(Clone, Debug, PartialEq, Error)]
 #[error("{reason}")]
 pub struct InvalidJob {
-    /// The job's id, if that much could be read: a retry for an accepted job must be answered with the job's state,
-    /// whatever else it says.
+    /// Id of the job; `None` if it is missing or malformed. A submission with the id of an accepted job is a retry and
+    /// must be answered with the job's state, even if the rest is invalid.
     pub id: Option<JobId>,
-    /// What is wrong with the submission.
+    /// Reason for which the submission is invalid.
     pub reason: InvalidReason,
 }
 
-/// What is wrong with a submission. The text is sent to the user and names fields as the protocol does.
+/// Reason for which a submission is invalid. The text is sent to the user and contains the protocol's field names.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum InvalidReason {
     /// The body is not JSON.
@@ -33,7 +36,7 @@
     /// The body is not a JSON object.
     #[error("not an object")]
     NotAnObject,
-    /// The id is missing or does not have the prescribed form.
+    /// The id is missing or malformed.
     #[error("id: missing or not of the form")]
     Id,
     /// A field is missing or has the wrong type.
@@ -42,24 +45,24 @@
     /// The named field is negative, too large or not finite.
     #[error("{0}: not an amount")]
     Amount(&'static str),
-    /// A task would take no CPU.
+    /// A task requests no CPUs.
     #[error("cores: a task needs some")]
     NoCpus,
-    /// The number of tasks is out of range.
+    /// The number of tasks is not between 1 and 100,000.
     #[error("clutch: not from 1 to {MAX_TASKS}")]
     TaskCount,
     /// The class, team or image is empty or too long.
     #[error("a name is empty or longer than {MAX_NAME_BYTES} bytes")]
     Name,
-    /// The allowed machine types or the zone are invalid.
+    /// A name among the allowed machine types and the zone is empty or too long, or there are too many names.
     #[error("breeds, roost: a name is empty or too long, or there are too many")]
     AllowedPlaces,
-    /// A prerequisite is not a job's id.
+    /// A prerequisite is not a valid job id.
     #[error("awaits: not a job's id")]
     Prerequisite,
 }
 
-/// The body of `POST /v1/jobs` without the id. The order of the fields decides which missing one is reported.
+/// Body of `POST /v1/jobs` without the id. If several fields are missing, the error names the one declared first.
 #[derive(Deserialize)]
 struct WireSubmission {
     /// `brood`: class.
@@ -68,7 +71,7 @@
     /// `flock`: team.
     #[serde(rename = "flock")]
     team: String,
-    /// `gait`: kind of job.
+    /// `gait`: kind of the job.
     #[serde(rename = "gait")]
     kind: WireKind,
     /// `pecking`: priority.
@@ -83,43 +86,43 @@
     gpus: f64,
     /// Memory of each task in GB.
     ram_gb: f64,
-    /// `breeds`: allowed machine types.
+    /// `breeds`: names of the allowed machine types; `None` allows all.
     #[serde(rename = "breeds")]
     machine_types: Option<Vec<String>>,
-    /// `roost`: the only allowed zone.
+    /// `roost`: only allowed zone; `None` allows all.
     #[serde(rename = "roost")]
     zone: Option<String>,
-    /// `together`: all tasks in one zone.
+    /// `together`: `true` if all tasks have to run in one zone.
     #[serde(rename = "together")]
     one_zone: bool,
-    /// At most half of the tasks in one zone.
+    /// `true` if at most half of the tasks may run in one zone.
     spread: bool,
-    /// `scavenged`: spot machines allowed.
+    /// `scavenged`: `true` if spot machines are allowed.
     #[serde(rename = "scavenged")]
     spot: bool,
-    /// `plumage`: image.
+    /// `plumage`: name of the image.
     #[serde(rename = "plumage")]
     image: String,
     /// Size of the image in GB.
     image_gb: f64,
-    /// `flight_s`: estimated run time.
+    /// `flight_s`: estimated run time of a task in seconds.
     #[serde(rename = "flight_s")]
     estimate_s: f64,
-    /// `cache_s`: checkpoint interval.
+    /// `cache_s`: checkpoint interval in seconds.
     #[serde(rename = "cache_s")]
     checkpoint_s: f64,
-    /// `stash_s`: time to save when stopped.
+    /// `stash_s`: time in seconds that a stopped task needs to save its progress.
     #[serde(rename = "stash_s")]
     save_s: f64,
-    /// `dusk_s`: deadline, counted from the submission.
+    /// `dusk_s`: deadline in seconds after the submission.
     #[serde(rename = "dusk_s")]
     deadline_s: Option<f64>,
-    /// `awaits`: prerequisites.
+    /// `awaits`: ids of the prerequisites.
     #[serde(rename = "awaits")]
     prerequisites: Option<Vec<String>>,
 }
 
-/// `gait`: the kind of a job.
+/// `gait`: kind of a job.
 #[derive(Deserialize)]
 enum WireKind {
     /// `sweep`: independent tasks.
@@ -130,7 +133,7 @@
     Service,
 }
 
-/// `pecking`: the priority of a job.
+/// `pecking`: priority of a job.
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum WirePriority {
@@ -140,13 +143,13 @@
     BestEffort,
 }
 
-/// Parses and checks the body of a submission.
+/// Parses and validates the body of a submission.
 pub(super) fn parse(body: &[u8]) -> Result<JobSpec, InvalidJob> {
     let (id, value) = parse_identified(body).map_err(|reason| InvalidJob { id: None, reason })?;
     parse_description(&id, &value).map_err(|reason| InvalidJob { id: Some(id), reason })
 }
 
-/// Reads as much as is needed to know which job the submission is about.
+/// Parses the JSON body and the id of the job.
 fn parse_identified(body: &[u8]) -> Result<(JobId, Value), InvalidReason> {
     let value: Value = serde_json::from_slice(body).map_err(|error| InvalidReason::NotJson(error.to_string()))?;
     let object = value.as_object().ok_or(InvalidReason::NotAnObject)?;
@@ -154,6 +157,7 @@
     Ok((id, value))
 }
 
+/// Parses and validates all fields except the id.
 fn parse_description(id: &JobId, value: &Value) -> Result<JobSpec, InvalidReason> {
     let submission = WireSubmission::deserialize(value).map_err(|error| InvalidReason::Field(error.to_string()))?;
     submission.check()?;
@@ -162,6 +166,7 @@
 }
 
 impl WireSubmission {
+    /// Validates all fields except the prerequisites.
     fn check(&self) -> Result<(), InvalidReason> {
         self.check_amounts()?;
         if self.cores <= 0.0 {
@@ -203,7 +208,7 @@
         Ok(())
     }
 
-    /// Returns the prerequisites in the order of their ids, each once.
+    /// Returns the prerequisites without duplicates, in ascending order.
     fn prerequisites(&self) -> Result<Vec<JobId>, InvalidReason> {
         let texts = self.prerequisites.iter().flatten();
         let ids = texts.map(|text| parse_job_id(text).ok_or(InvalidReason::Prerequisite));
--- a/src/protocol/users/views.rs
+++ b/src/protocol/users/views.rs
@@ -1,18 +1,18 @@
-//! What users are shown of their jobs.
+//! Bodies of the answers to users about their jobs.
 
 use crate::model::JobId;
 use serde::{Deserialize, Serialize};
 
-/// How many of the prerequisites of a job are named in an answer.
+/// Maximum number of prerequisites that are listed in an answer.
 const MAX_NAMED_PREREQUISITES: usize = 16;
 
-/// The state of a job as its user is told it.
+/// State of a job in answers to users.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobState {
-    /// No task runs.
+    /// `pending`: no task is running.
     #[serde(rename = "pending")]
     Queued,
-    /// At least one task runs.
+    /// At least one task is running.
     #[serde(rename = "running")]
     Running,
     /// All tasks are done.
@@ -23,39 +23,39 @@
     Cancelled,
 }
 
-/// The answer to a submission, a poll or a cancellation.
+/// Body of the answer to a submission, a poll or a cancellation.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobView {
-    /// The job.
+    /// Id of the job.
     pub id: JobId,
     /// `mood`: state of the job.
     #[serde(rename = "mood")]
     pub state: JobState,
-    /// How many tasks are done.
+    /// Number of completed tasks.
     #[serde(default)]
     pub done: u32,
-    /// How many tasks run.
+    /// Number of running tasks.
     #[serde(default)]
     pub running: u32,
-    /// The first few of the prerequisites that are not done.
+    /// Prerequisites that are not done: the first 16 in ascending order.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub waits_for: Vec<JobId>,
-    /// How many prerequisites are not done, if the job waits for any.
+    /// Number of all prerequisites that are not done; `None` if the job does not wait for prerequisites.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub waits_for_count: Option<usize>,
-    /// The cancelled prerequisite because of which this job was cancelled.
+    /// Cancelled prerequisite that caused the cancellation of this job; `None` if there was no such cause.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub withdrawn_with: Option<JobId>,
 }
 
 impl JobView {
-    /// Returns the view of a job that waits for no other.
+    /// Returns the view of a job that does not wait for prerequisites.
     pub fn new(id: &JobId, state: JobState, done: u32, running: u32) -> JobView {
         let id = id.clone();
         JobView { id, state, done, running, waits_for: Vec::new(), waits_for_count: None, withdrawn_with: None }
     }
 
-    /// Returns the view of a job that waits for `prerequisites`.
+    /// Returns the view of a job that waits for `prerequisites`, in any order.
     pub fn waiting<'a>(id: &JobId, prerequisites: impl Iterator<Item = &'a JobId>) -> JobView {
         let mut waits_for: Vec<JobId> = prerequisites.cloned().collect();
         let count = waits_for.len();
@@ -65,78 +65,79 @@
     }
 }
 
-/// When a job is expected to be done, and what that estimate is based on. Times are seconds from the answer.
+/// Body of the answer to a forecast request: the expected end of a job and the basis of the forecast. Times are in
+/// seconds and relative to the answer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ForecastView {
-    /// The job.
+    /// Id of the job.
     pub id: JobId,
     /// `mood`: state of the job.
     #[serde(rename = "mood")]
     pub state: JobState,
-    /// How many tasks are done.
+    /// Number of completed tasks.
     pub done: u32,
-    /// How many tasks run.
+    /// Number of running tasks.
     pub running: u32,
-    /// How many tasks the job has.
+    /// Number of tasks of the job.
     pub tasks: u32,
-    /// The forecast for one task; null for services.
+    /// Forecast of the run time of one task; null for services.
     pub task: Option<TaskForecast>,
-    /// When the job will be done; null for services, and while no room for the job is in sight.
+    /// Time until the job is done; null for services, and while the forecast finds no free resources for the job.
     pub finish: Option<Interval>,
-    /// The time that was promised, if there is one.
+    /// Promised time of completion, if there is one.
     pub promise: Option<PromiseView>,
-    /// How accurate earlier forecasts were.
+    /// Accuracy of earlier forecasts.
     pub record: ForecastRecord,
 }
 
-/// A forecast of a time: one outcome in ten is expected below `low_s` and one in ten above `high_s`.
+/// Forecast of a time in seconds: one outcome in ten is expected below `low_s`, and one in ten above `high_s`.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Interval {
-    /// The tenth percentile.
+    /// 10th percentile.
     pub low_s: f64,
-    /// The median.
+    /// Median.
     pub middle_s: f64,
-    /// The ninetieth percentile.
+    /// 90th percentile.
     pub high_s: f64,
 }
 
-/// The expected run time of one task.
+/// Forecast of the run time of one task.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TaskForecast {
-    /// The run time.
+    /// Run time in seconds.
     #[serde(flatten)]
     pub run: Interval,
-    /// On how many completed attempts the forecast is based.
+    /// Number of completed attempts on which the forecast is based.
     pub observations: u64,
-    /// How similar those attempts were to this task.
+    /// Degree to which the observed attempts resemble the task.
     pub level: crowstall_forecast::Level,
 }
 
-/// The time by which a job was promised to be done.
+/// Promised time of completion of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PromiseView {
-    /// Seconds until the promised time; negative once that has passed.
+    /// Time in seconds until the promised time; negative after the promised time.
     pub by_s: f64,
-    /// The promised time in milliseconds since 1970.
+    /// Promised time in milliseconds since 1970.
     pub by_ms: u64,
-    /// How many seconds ago the promise was made.
+    /// Age of the promise in seconds.
     pub made_s: f64,
-    /// How many earlier promises this one replaces.
+    /// Number of earlier promises that this one replaces.
     pub revisions: u32,
 }
 
-/// How accurate earlier forecasts were. A share is null while nothing has been judged.
+/// Accuracy of earlier forecasts. A fraction is null until there is an outcome to compare.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ForecastRecord {
-    /// How many forecasts of run times were compared with the actual ones.
+    /// Number of run time forecasts that were compared with the actual run time.
     pub run_times_judged: u64,
-    /// The share of run times that lay inside the interval.
+    /// Fraction of run times inside the forecast interval.
     pub inside_interval: Option<f64>,
-    /// The share of run times for which the median was off by at most a quarter.
+    /// Fraction of run times for which the forecast median was off by at most a quarter.
     #[serde(default)]
     pub within_quarter: Option<f64>,
-    /// How many promises have come due.
+    /// Number of promises that were compared with the time at which the job was done.
     pub promises_judged: u64,
-    /// The share of promises that were kept.
+    /// Fraction of promises that were kept.
     pub promises_kept: Option<f64>,
 }
--- a/src/protocol/workers/commands.rs
+++ b/src/protocol/workers/commands.rs
@@ -1,106 +1,108 @@
-//! What workers are told: answers to heartbeats, and commands sent directly.
+//! Messages to workers: answers to heartbeats, and direct calls with commands.
 //!
-//! The bodies have their fields in alphabetical order, as all versions have written them.
+//! The fields of the bodies are declared in the alphabetical order of their serialized names, in which all versions
+//! write them.
 
 use super::heartbeat::{WorkerHeartbeat, parse_heartbeat};
 use crate::model::{AgentEpoch, AttemptNumber, FencingToken, TaskId};
 use crate::protocol::{CallError, Outgoing, Reply};
 use serde::{Serialize, Serializer};
 
-/// The most commands in one answer, which must stay well below 64 KiB.
+/// Largest number of commands in one answer or direct call. Keeps the body well below 64 KiB.
 pub const MAX_COMMANDS: usize = 400;
 
-/// A command to a worker. On the wire, `egg` is the task and `hatch` the attempt.
+/// A command to a worker. In the JSON body, `egg` is the task id and `hatch` the attempt number.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(tag = "call", rename_all = "lowercase")]
 pub enum Command {
-    /// Start an attempt.
+    /// Starts an attempt at a task.
     Run {
-        /// The task.
+        /// `egg`: id of the task.
         #[serde(rename = "egg", serialize_with = "as_text")]
         task: TaskId,
-        /// The attempt.
+        /// `hatch`: number of the attempt.
         #[serde(rename = "hatch")]
         attempt: AttemptNumber,
     },
-    /// Stop an attempt.
+    /// Stops an attempt.
     Stop {
-        /// The task.
+        /// `egg`: id of the task.
         #[serde(rename = "egg", serialize_with = "as_text")]
         task: TaskId,
-        /// The attempt.
+        /// `hatch`: number of the attempt.
         #[serde(rename = "hatch")]
         attempt: AttemptNumber,
-        /// `settle_s`: seconds that the task has for saving its progress.
+        /// `settle_s`: time in seconds that the task has to save its progress.
         #[serde(rename = "settle_s")]
         grace_s: f64,
     },
-    /// Remove an ended attempt from the heartbeats.
+    /// Acknowledges the end of an attempt: later heartbeats omit the attempt.
     Forget {
-        /// The task.
+        /// `egg`: id of the task.
         #[serde(rename = "egg", serialize_with = "as_text")]
         task: TaskId,
-        /// The attempt.
+        /// `hatch`: number of the attempt.
         #[serde(rename = "hatch")]
         attempt: AttemptNumber,
     },
 }
 
+/// Serializes a task id as the text that `Display` writes.
 fn as_text<S: Serializer>(task: &TaskId, serializer: S) -> Result<S::Ok, S::Error> {
     serializer.collect_str(task)
 }
 
-/// The answer to a heartbeat.
+/// Body of the answer to an accepted heartbeat.
 #[derive(Serialize)]
 struct WireAccepted<'a> {
-    /// `calls`: commands.
+    /// `calls`: commands in the order of execution.
     #[serde(rename = "calls")]
     commands: &'a [Command],
-    /// `crest`: fencing token.
+    /// `crest`: fencing token under which the commands are given.
     #[serde(rename = "crest")]
     token: FencingToken,
 }
 
-/// The answer to a heartbeat that belongs elsewhere.
+/// Body of the answer to a heartbeat that has to be sent to another controller.
 #[derive(Serialize)]
 struct WireRedirect<'a> {
-    /// `rookery`: controller to report to.
+    /// `rookery`: label of the controller to report to, if known.
     #[serde(rename = "rookery", skip_serializing_if = "Option::is_none")]
     controller: Option<&'a str>,
 }
 
-/// Returns the answer that renews the worker's lease and gives it commands.
+/// Returns the answer that renews the worker lease and has the worker execute `commands`.
 pub fn accepted(token: FencingToken, commands: &[Command]) -> Reply {
     Reply::json(200, &WireAccepted { commands, token })
 }
 
-/// Returns the answer that sends the worker to another controller, by label if it is known which.
+/// Returns the answer that redirects the worker to the controller with the given label, or to any other if `None`.
 pub fn redirect(controller: Option<&str>) -> Reply {
     Reply::json(421, &WireRedirect { controller })
 }
 
-/// Commands sent directly to a worker. They may be executed minutes late, so they never contain a
-/// [`Command::Run`].
+/// A direct call with commands to a worker. A delayed call may be executed minutes later, when the decision to start a
+/// task may be obsolete, so direct calls never contain a [`Command::Run`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkerCall {
-    /// The fencing token under which the commands are given.
+    /// Fencing token under which the commands are given.
     pub token: FencingToken,
-    /// The agent epoch for which the commands are meant.
+    /// Agent epoch for which the commands are meant.
     pub epoch: AgentEpoch,
-    /// The commands in the order of execution.
+    /// Commands in the order of execution.
     pub commands: Vec<Command>,
 }
 
-/// The body of `POST /commands`.
+/// Body of `POST /commands`, a direct call.
 #[derive(Serialize)]
 struct WireCall<'a> {
-    /// `calls`: commands.
+    /// `calls`: commands in the order of execution.
     #[serde(rename = "calls")]
     commands: &'a [Command],
-    /// `crest`: fencing token.
+    /// `crest`: fencing token under which the commands are given.
     #[serde(rename = "crest")]
     token: FencingToken,
-    /// `sitting`: agent epoch.
+    /// `sitting`: agent epoch for which the commands are meant.
     #[serde(rename = "sitting")]
     epoch: AgentEpoch,
 }
@@ -108,9 +110,10 @@
 /// A worker's answer to a [`WorkerCall`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum WorkerAnswer {
-    /// The commands were executed; the heartbeat shows the state after them.
+    /// The commands were executed; the heartbeat has the state after the execution.
     Executed(Box<WorkerHeartbeat>),
-    /// Nothing was executed, because the fencing token or the epoch did not match.
+    /// No command was executed, because the fencing token or the agent epoch did not match; the heartbeat has the
+    /// current ones.
     Rejected(Box<WorkerHeartbeat>),
 }
 
@@ -120,7 +123,7 @@
         Outgoing::post("/commands", &WireCall { commands: &self.commands, token: self.token, epoch: self.epoch })
     }
 
-    /// Interprets the response to a call.
+    /// Interprets the response to a direct call.
     pub fn answer(status: u16, body: &[u8]) -> Result<WorkerAnswer, CallError> {
         let heartbeat = || parse_heartbeat(body).map(Box::new).map_err(|_| CallError::Unexpected(status));
         match status {
--- a/src/protocol/workers/heartbeat.rs
+++ b/src/protocol/workers/heartbeat.rs
@@ -1,4 +1,4 @@
-//! What workers report about themselves and their tasks.
+//! Heartbeats of workers: the state of a machine and of the tasks on it.
 
 use crate::model::{AgentEpoch, AttemptNumber, FencingToken, MachineId, Name, SequenceNumber, TaskId};
 use crate::time::Span;
@@ -6,40 +6,41 @@
 use std::net::SocketAddrV4;
 use thiserror::Error;
 
+/// Maximum length of a machine id in bytes.
 const MAX_MACHINE_ID_BYTES: usize = 100;
 
-/// A body that is not a heartbeat. The text is sent to the worker.
+/// Error for a body that is not a valid heartbeat. The text is sent to the worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("not a report")]
 pub struct InvalidHeartbeat;
 
-/// The body of `POST /hello`, of `GET /status` and of the answers to direct commands.
+/// Body of `POST /hello` and of the answers to `GET /status` and `POST /commands`.
 #[derive(Deserialize)]
 struct WireHeartbeat {
-    /// `perch`: machine.
+    /// `perch`: id of the machine.
     #[serde(rename = "perch")]
     machine: String,
-    /// Address at which the worker takes direct commands.
+    /// Address and port at which the worker accepts direct calls.
     endpoint: SocketAddrV4,
-    /// `breed`: machine type.
+    /// `breed`: name of the machine type.
     #[serde(rename = "breed")]
     machine_type: String,
     /// `roost`: zone.
     #[serde(rename = "roost")]
     zone: String,
-    /// `scavenged`: spot machine.
+    /// `scavenged`: `true` for a spot machine.
     #[serde(rename = "scavenged", default)]
     spot: bool,
     /// `sitting`: agent epoch.
     #[serde(rename = "sitting")]
     epoch: u64,
-    /// `caw`: message number.
+    /// `caw`: sequence number of the message.
     #[serde(rename = "caw")]
     seq: u64,
     /// `crest`: highest fencing token seen.
     #[serde(rename = "crest", default)]
     token: u64,
-    /// `shoo_s`: seconds until the cloud takes the spot machine away.
+    /// `shoo_s`: time in seconds until the cloud reclaims the spot machine, if announced.
     #[serde(rename = "shoo_s")]
     notice_s: Option<f64>,
     /// `clutch`: tasks on the machine.
@@ -59,79 +60,79 @@
     /// `mood`: state of the task.
     #[serde(rename = "mood")]
     state: WireTaskState,
-    /// Why an ended task has ended.
+    /// Cause of the end of a task that has ended.
     cause: Option<String>,
-    /// Whether a stopped task has saved its progress.
+    /// `true` if a stopped task has saved its progress.
     #[serde(default)]
     saved: Option<bool>,
 }
 
-/// `mood`: the state of a task.
+/// `mood`: state of a task.
 #[derive(Clone, Copy, Deserialize)]
 #[serde(rename_all = "lowercase")]
 enum WireTaskState {
-    /// `pulling`: waits for its image.
+    /// `pulling`: the task waits until its image is fetched.
     #[serde(rename = "pulling")]
     Fetching,
     Running,
     Saving,
     Ended,
-    /// A state of a newer protocol.
+    /// A state that was added in a newer version of the protocol.
     #[serde(other)]
     Other,
 }
 
-/// A worker's periodic message with the list of its tasks. Controllers also forward it to each other.
+/// A worker's periodic message with the list of its tasks. Controllers relay heartbeats to each other in this form.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WorkerHeartbeat {
-    /// The machine on which the worker runs.
+    /// Id of the machine on which the worker runs.
     pub machine: MachineId,
-    /// Where the worker takes direct commands.
+    /// Address and port at which the worker accepts direct calls.
     pub addr: SocketAddrV4,
-    /// The machine type.
+    /// Name of the machine type.
     pub kind: Name,
-    /// The zone of the machine.
+    /// Zone of the machine.
     pub zone: Name,
-    /// Whether the machine is a spot machine.
+    /// `true` for a spot machine.
     pub spot: bool,
-    /// The worker's epoch, which rises whenever its lease expires.
+    /// Agent epoch of the worker, incremented whenever the worker lease expires.
     #[serde(rename = "session")]
     pub epoch: AgentEpoch,
-    /// The number of this message within the epoch.
+    /// Sequence number of the message within the agent epoch.
     pub seq: SequenceNumber,
-    /// The highest fencing token that the worker has seen.
+    /// Highest fencing token that the worker has received.
     pub token: FencingToken,
-    /// The time left until the cloud takes the spot machine away, if it has announced that.
+    /// Time until the cloud reclaims the spot machine; `None` unless the cloud has announced that.
     pub notice: Option<Span>,
-    /// All tasks on the machine, with ended ones until they are forgotten.
+    /// All attempts on the machine, including ended ones until a [`Command::Forget`](super::Command::Forget).
     pub tasks: Vec<TaskStatus>,
 }
 
-/// A task in a heartbeat.
+/// State of an attempt in a heartbeat.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TaskStatus {
-    /// The task.
+    /// Id of the task.
     pub task: TaskId,
-    /// The attempt at the task.
+    /// Number of the attempt at the task.
     pub attempt: AttemptNumber,
-    /// The state of the attempt.
+    /// State of the attempt.
     pub state: TaskState,
 }
 
-/// The state of an attempt on a machine.
+/// State of an attempt on a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TaskState {
-    /// The task waits for its image.
+    /// The task waits until its image is fetched.
     Fetching,
     /// The task runs.
     Running,
-    /// The task was told to stop and saves its progress.
+    /// The task is being stopped and saves its progress.
     Saving,
-    /// The task has ended.
+    /// The attempt has ended, or its start was refused.
     Exited(Exit),
 }
 
-/// Why an attempt ended.
+/// Cause of the end of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Exit {
     /// The task has completed.
@@ -142,7 +143,7 @@
     Saved,
     /// The task failed.
     Error,
-    /// The start was refused because the machine has too little room.
+    /// The start was refused because the machine has too few free resources.
     NoRoom,
     /// The start was refused because another attempt of the task is on the machine.
     Busy,
@@ -155,8 +156,9 @@
     serde_json::from_slice::<WireHeartbeat>(body).map_err(|_| InvalidHeartbeat)?.try_into()
 }
 
+/// Returns `true` if `text` is a valid machine id. Machine ids become parts of keys of the state service, so they
+/// contain neither spaces nor slashes.
 fn is_machine_id(text: &str) -> bool {
-    // Machine ids become parts of keys of the state service.
     (1..=MAX_MACHINE_ID_BYTES).contains(&text.len()) && !text.contains([' ', '/'])
 }
 
@@ -195,7 +197,7 @@
     fn from(wire: &WireTask) -> TaskState {
         match wire.state {
             WireTaskState::Fetching => TaskState::Fetching,
-            // A task in a state that is not known here is on the machine all the same.
+            // A task in an unknown state still occupies resources on the machine.
             WireTaskState::Running | WireTaskState::Other => TaskState::Running,
             WireTaskState::Saving => TaskState::Saving,
             WireTaskState::Ended => TaskState::Exited(wire.exit()),
@@ -204,6 +206,7 @@
 }
 
 impl WireTask {
+    /// Returns the cause of the end. Unknown causes count as failures of the task.
     fn exit(&self) -> Exit {
         match self.cause.as_deref() {
             Some("done") => Exit::Done,
--- a/src/protocol/workers/mod.rs
+++ b/src/protocol/workers/mod.rs
@@ -1,4 +1,4 @@
-//! The interface for workers: their heartbeats, and the commands they are given.
+//! Interface for workers: heartbeats from them and commands to them.
 
 mod commands;
 mod heartbeat;
@@ -8,8 +8,8 @@
 
 use crate::time::Span;
 
-/// How long a worker waits for the answer to a heartbeat.
+/// Time for which a worker waits for the answer to a heartbeat.
 pub const ANSWER_TIMEOUT: Span = Span::millis(4000);
 
-/// How long a worker waits after a failed heartbeat before it tries the next controller.
+/// Time for which a worker waits after a failed heartbeat before it sends one to the next controller.
 pub const NEXT_CONTROLLER_DELAY: Span = Span::millis(1000);
--- a/src/storage/mod.rs
+++ b/src/storage/mod.rs
@@ -1,4 +1,4 @@
-//! What is kept in the state service: keys, records and their encodings, and the accounting of writes.
+//! The data in the state service: keys, records and their encodings, the rate limiter, and write statistics.
 
 pub mod keys;
 pub mod range_set;
--- a/src/storage/range_set.rs
+++ b/src/storage/range_set.rs
@@ -1,13 +1,14 @@
-//! Sets of task numbers as ranges. Jobs have up to 100,000 tasks, and most of those in a set follow each other.
+//! Sets of task numbers, stored as ranges. Jobs have up to 100,000 tasks, and the members of a set are mostly
+//! consecutive.
 
 use std::cmp::Reverse;
 use std::fmt;
 use std::ops::Range;
 
-/// The longest text of a range of numbers below 100,000, with its comma: `99998-99999,`.
+/// Length in bytes of the longest text of a range of numbers below 100,000 and its comma: `99998-99999,`.
 const MAX_RANGE_TEXT: usize = 12;
 
-/// A set of numbers, kept as sorted ranges that neither overlap nor touch.
+/// A set of numbers, stored as ascending, non-empty ranges with a gap between each two.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RangeSet {
     ranges: Vec<Range<u32>>,
@@ -25,33 +26,33 @@
         RangeSet { ranges: if all.is_empty() { Vec::new() } else { Vec::from([all]) } }
     }
 
-    /// Whether the set has no numbers.
+    /// Returns `true` if the set has no members.
     pub fn is_empty(&self) -> bool {
         self.ranges.is_empty()
     }
 
-    /// Returns how many numbers the set has.
+    /// Returns the number of members.
     pub fn len(&self) -> u32 {
         self.ranges.iter().map(|range| range.end - range.start).sum()
     }
 
-    /// Returns the lowest number.
+    /// Returns the smallest member, or `None` if the set is empty.
     pub fn first(&self) -> Option<u32> {
         self.ranges.first().map(|range| range.start)
     }
 
-    /// Whether the set has `n`.
+    /// Returns `true` if `n` is a member.
     pub fn contains(&self, n: u32) -> bool {
         let at = self.ranges.partition_point(|range| range.end <= n);
         self.ranges.get(at).is_some_and(|range| range.start <= n)
     }
 
-    /// Returns the numbers in ascending order.
+    /// Returns the members in ascending order.
     pub fn iter(&self) -> impl Iterator<Item = u32> + '_ {
         self.ranges.iter().flat_map(Clone::clone)
     }
 
-    /// Adds a number. Returns false if the set had it already.
+    /// Adds `n`. Returns `false` if `n` was a member already.
     pub fn insert(&mut self, n: u32) -> bool {
         if self.contains(n) {
             return false;
@@ -71,7 +72,7 @@
         true
     }
 
-    /// Removes a number. Returns false if the set did not have it.
+    /// Removes `n`. Returns `false` if `n` was not a member.
     pub fn remove(&mut self, n: u32) -> bool {
         if !self.contains(n) {
             return false;
@@ -92,8 +93,8 @@
         true
     }
 
-    /// Parses the text that `Display` writes. Returns `None` if the text has another form, or has a number that is
-    /// not below `limit`.
+    /// Parses the text that `Display` writes. Returns `None` if the text has another form or contains a number that is
+    /// not less than `limit`.
     pub fn parse(text: &str, limit: u32) -> Option<RangeSet> {
         let mut ranges: Vec<Range<u32>> = Vec::new();
         for part in text.split(',').filter(|part| !part.is_empty()) {
@@ -107,7 +108,7 @@
         Some(RangeSet { ranges })
     }
 
-    /// Returns a subset whose text has at most `bytes` bytes, preferring the longest ranges.
+    /// Returns a subset whose text takes at most `bytes` bytes. If the set does not fit, its longest ranges are kept.
     pub fn within(&self, bytes: usize) -> RangeSet {
         if self.to_string().len() <= bytes {
             return self.clone();
@@ -120,7 +121,7 @@
     }
 }
 
-/// Parses `FIRST-LAST` or a single number.
+/// Parses `FIRST-LAST` or a single number. Returns the first and the last number of the range.
 fn parse_range(text: &str) -> Option<(u32, u32)> {
     match text.split_once('-') {
         Some((first, last)) => Some((first.parse().ok()?, last.parse().ok()?)),
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -1,141 +1,145 @@
-//! The records in the state service.
+//! Records in the state service.
 //!
-//! Controllers of different versions read each other's records during an upgrade. Serialized names therefore stay
-//! as they are, and a field that was added later is left out where it has its default.
+//! During an upgrade, controllers of different versions read each other's records. Serialized names therefore never
+//! change, and a field that was added after the first version is omitted while it has its default value.
 
 use crate::model::{FinalState, JobId, JobSpec, Name, NodeLabel, ShardId};
 use crowstall_leadership::LeadershipBounds;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddrV4;
 
-/// By how many bytes a job's record may grow after it was first written, apart from [`LiveRecord::done`]:
-/// `ready_ms`, `failing` and longer numbers.
+/// Upper bound in bytes of the growth of a live record after its first write, not counting [`LiveRecord::done`]:
+/// `ready_ms`, `failing` and numbers with more digits.
 pub const MAX_LATER_GROWTH: usize = 96;
 
-/// The shard under which jobs that wait for prerequisites are recorded. It does not exist, so that a version which
-/// does not know prerequisites finds the job and starts none of its tasks (docs/upgrade.md).
+/// Value of [`LiveRecord::shard`] while a job waits for prerequisites. No shard has this number, so a version without
+/// support for prerequisites reads the record and starts none of the job's tasks (docs/upgrade.md).
 pub const NO_SHARD: ShardId = ShardId(u32::MAX);
 
-/// The bytes of a part's value besides the prerequisites.
+/// Size in bytes of the value of a part record without prerequisites, rounded up.
 const PART_OVERHEAD: usize = 16;
 
-/// The bytes of a prerequisite in a part's value besides the id: quotes and a comma.
+/// Size in bytes that a prerequisite takes in a part record besides the id: two quotes and a comma.
 const PART_ITEM_OVERHEAD: usize = 3;
 
-/// The leader of a shard. The revision of its key is the leadership term.
+/// Record of the leader of a shard. The revision of the key is the leadership term.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ShardRecord {
-    /// The controller that leads the shard.
+    /// Label of the controller that leads the shard.
     pub node: NodeLabel,
-    /// The incarnation of that controller, since labels stay the same after a restart.
+    /// Incarnation of the leader: a controller keeps its label when it restarts.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// Where that controller listens for users and workers.
+    /// Address at which the leader serves users and workers; `None` in records of versions that did not write it.
     #[serde(default)]
     pub front: Option<SocketAddrV4>,
-    /// If present, the leader may be deposed before its lease has expired, provided that the new leader waits as
-    /// these bounds demand.
+    /// Bounds on the time that the leader may continue to act after its term was last confirmed. With them, the leader
+    /// may be deposed before its node lease expires, and the new leader waits for the bounds; `None` if the leader can
+    /// only be replaced after the expiry.
     #[serde(rename = "terms", default, skip_serializing_if = "Option::is_none")]
     pub bounds: Option<LeadershipBounds>,
 }
 
-/// What the next leader of a shard has to know of former ones. The record outlives their terms.
+/// Data that the leaders of a shard keep for the next leader. The record is not attached to a lease, so it outlives
+/// the leadership terms.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PreviousTermRecord {
-    /// The digest of the quotas under which all tasks were started that may still run; `None` if there may be tasks
-    /// that were started under other quotas.
+    /// Digest of the team quotas under which all tasks that may still run were started; `None` if tasks that were
+    /// started under other quotas may still run.
     pub limits: Option<String>,
-    /// If present, a leader was deposed before its lease had expired and may not know that yet. The next leader
-    /// waits for these bounds, counted from its own acquisition.
+    /// Bounds of a leader that was deposed before its node lease had expired and may still act. The next leader waits
+    /// for these bounds, counted from its own acquisition. `None` if no deposed leader can still act.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub overlap: Option<LeadershipBounds>,
 }
 
-/// Shows that a shard's leader lives, while a peer may not receive its heartbeats. Only the revision of the key
-/// matters.
+/// Sign of life of a shard's leader, written while a peer may not receive the leader's heartbeats. Readers only compare
+/// the revision of the key.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LivenessRecord {
-    /// The leader.
+    /// Label of the leader.
     pub node: NodeLabel,
 }
 
-/// A job that was accepted and has not ended.
+/// Live record: a job that was accepted and has not ended.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LiveRecord {
-    /// The job's shard, or [`NO_SHARD`] while the job waits for prerequisites.
+    /// Shard of the job, or [`NO_SHARD`] while the job waits for prerequisites.
     pub shard: ShardId,
-    /// The job's shard, while the job waits for prerequisites.
+    /// Shard of the job while `shard` is [`NO_SHARD`], and `None` otherwise.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub home: Option<ShardId>,
-    /// How many [`PartRecord`]s have further prerequisites.
+    /// Number of [`PartRecord`]s that hold the prerequisites which do not fit into this record.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub parts: u32,
-    /// The job.
+    /// Specification of the job.
     pub job: JobSpec,
-    /// When the job was accepted, in milliseconds since 1970.
+    /// Time of the acceptance in milliseconds since 1970.
     pub accepted_ms: u64,
-    /// When the last prerequisite was done, in milliseconds since 1970, if the job had to wait.
+    /// Time at which the last prerequisite was done, in milliseconds since 1970; `None` if the job did not have to
+    /// wait, or still waits.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub ready_ms: Option<u64>,
-    /// The tasks that are done, as the text of a [`RangeSet`](super::range_set::RangeSet).
+    /// Completed tasks, as the text of a [`RangeSet`](super::range_set::RangeSet).
     #[serde(default)]
     pub done: String,
-    /// No task from this number on was ever started.
+    /// Start watermark: no task with this number or a larger one was ever started, so after a failover the new leader
+    /// looks for attempts of smaller numbers only.
     #[serde(rename = "untouched", default)]
     pub start_watermark: u32,
-    /// Whether the job's tasks fail on every machine, so that the next leader need not find that out again.
+    /// `true` if the job fails everywhere, so that the next leader does not have to repeat the failures to detect it.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub failing: bool,
 }
 
-/// Some of a job's prerequisites, where they do not all fit into the job's own record.
+/// Part record: prerequisites of a job that do not fit into its live record.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PartRecord {
-    /// The prerequisites.
+    /// Ids of the prerequisites.
     pub needs: Vec<JobId>,
 }
 
-/// A job that has ended. It is kept for good.
+/// Final record of a job that has ended. Final records are never deleted.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EndRecord {
-    /// How the job ended.
+    /// Final state of the job.
     pub state: FinalState,
-    /// How many tasks were done.
+    /// Number of completed tasks.
     pub done: u32,
-    /// The cancelled prerequisite because of which this job was cancelled.
+    /// Cancelled prerequisite that caused the cancellation of this job; `None` if there was no such cause.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub cause: Option<JobId>,
 }
 
-/// What a shard has learned of run times. Losing it costs accuracy and nothing else.
+/// Run time statistics of a shard. Without the record, forecasts are less accurate; nothing else is affected.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ForecastRecord {
-    /// A snapshot as `crowstall_forecast::snapshot` writes it.
+    /// Snapshot in the format of `crowstall_forecast::snapshot`.
     pub snapshot: String,
 }
 
-/// A machine and the shard to which it belongs.
+/// Record of a machine, with the shard to which the machine belongs.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineRecord {
-    /// The shard.
+    /// Shard of the machine.
     pub shard: ShardId,
-    /// The machine type.
+    /// Name of the machine type.
     pub kind: Name,
-    /// The zone.
+    /// Zone of the machine.
     pub zone: Name,
-    /// Whether the machine is a spot machine.
+    /// `true` for a spot machine.
     pub spot: bool,
-    /// Where the worker takes direct commands.
+    /// Address and port at which the worker accepts direct commands.
     pub addr: String,
 }
 
 impl LiveRecord {
-    /// Whether the job may have prerequisites that are not done.
+    /// Returns `true` if the job may have prerequisites that are not done.
     pub fn is_waiting(&self) -> bool {
         self.shard == NO_SHARD
     }
 
-    /// Returns the shard whose leader decides about the job.
+    /// Returns the shard whose leader decides about the job, also while the job waits for prerequisites.
     pub fn decided_in(&self) -> ShardId {
         self.home.filter(|_| self.is_waiting()).unwrap_or(self.shard)
     }
@@ -145,7 +149,7 @@
     *count == 0
 }
 
-/// Divides prerequisites among as many records as are needed to keep each value within `value_bytes`.
+/// Divides prerequisites among part records whose values take at most `value_bytes` each, in the given order.
 pub fn parts_of(prerequisites: &[JobId], value_bytes: usize) -> Vec<PartRecord> {
     let mut parts: Vec<PartRecord> = Vec::new();
     let mut used_bytes = 0;
@@ -162,8 +166,8 @@
     parts
 }
 
-/// Returns a record as the value of a key.
+/// Returns the JSON value that is stored for a record.
 pub fn to_value(record: &impl Serialize) -> serde_json::Value {
-    // Records have text keys and finite numbers only, so this cannot fail.
+    // Serialization cannot fail: all records have text keys and finite numbers only.
     serde_json::to_value(record).unwrap_or_default()
 }
--- a/src/storage/write_usage.rs
+++ b/src/storage/write_usage.rs
@@ -1,27 +1,27 @@
-//! Counts what this controller writes to the state service, by kind of record, for the log.
+//! Statistics of this controller's writes to the state service by kind of record, for the log.
 
 use crate::protocol::state::Change;
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// A kind of record, named by the first part of the keys of its records.
+/// A kind of record, identified by the part of its keys before the first slash.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RecordKind(String);
 
-/// What was written of one kind of record.
+/// Statistics of the writes of one kind of record.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct KindUsage {
-    /// How many changes were sent.
+    /// Number of changes sent.
     changes: u64,
-    /// The bytes of their values.
+    /// Total size in bytes of the values sent.
     bytes: u64,
-    /// How many changes were refused for exceeding the rate limit, and so were not executed.
+    /// Number of changes that exceeded the rate limit, so that the state service refused them without execution.
     refused: u64,
-    /// The bytes of the largest value.
+    /// Size in bytes of the largest value.
     largest: u64,
 }
 
-/// What was written since the last [`WriteUsage::clear`].
+/// Statistics of the writes since the last [`WriteUsage::clear`].
 #[derive(Debug, Default)]
 pub struct WriteUsage {
     kinds: BTreeMap<RecordKind, KindUsage>,
@@ -33,7 +33,7 @@
         RecordKind(key.split('/').next().unwrap_or_default().to_string())
     }
 
-    /// Returns the kind of the record that is changed.
+    /// Returns the kind of the record that the change writes or deletes.
     fn of_change(change: &Change) -> RecordKind {
         let (Change::Put { key, .. } | Change::Delete(key)) = change;
         RecordKind::of_key(key)
@@ -46,6 +46,7 @@
     }
 }
 
+/// Returns the size in bytes of the value that the change writes; 0 for a deletion.
 fn value_bytes(change: &Change) -> u64 {
     match change {
         Change::Put { value, .. } => value.to_string().len() as u64,
@@ -54,7 +55,7 @@
 }
 
 impl WriteUsage {
-    /// Counts changes that are being sent. Returns their kinds, to be given to [`WriteUsage::refused`] if the
+    /// Counts changes that are being sent. Returns the kind of each, for [`WriteUsage::refused`] in case the
     /// transaction is refused.
     pub fn sent(&mut self, changes: &[Change]) -> Vec<RecordKind> {
         for change in changes {
@@ -67,19 +68,19 @@
         changes.iter().map(RecordKind::of_change).collect()
     }
 
-    /// Counts changes of these kinds that were refused.
+    /// Counts refused changes, one for each element of `kinds`.
     pub fn refused(&mut self, kinds: Vec<RecordKind>) {
         for kind in kinds {
             self.kinds.entry(kind).or_default().refused += 1;
         }
     }
 
-    /// Whether nothing was written.
+    /// Returns `true` if no change was counted since the last [`WriteUsage::clear`].
     pub fn is_empty(&self) -> bool {
         self.kinds.is_empty()
     }
 
-    /// Starts counting from zero.
+    /// Resets all counts to zero.
     pub fn clear(&mut self) {
         self.kinds.clear();
     }
