--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -226,7 +226,7 @@
     /// Interprets the response to this call.
     pub fn answer(&self, status: u16, body: &[u8]) -> Result<CloudAnswer, CallError> {
         match status {
-            200 => self.success(status, body),
+            200 => self.parse_success(status, body),
             429 => Err(CallError::Refused { over_limit: true }),
             503 if self.has_no_capacity(body) => Ok(CloudAnswer::NoCapacity),
             503 => Err(CallError::Refused { over_limit: false }),
@@ -240,7 +240,7 @@
     }
 
     /// Parses the body of an answer with status 200.
-    fn success(&self, status: u16, body: &[u8]) -> Result<CloudAnswer, CallError> {
+    fn parse_success(&self, status: u16, body: &[u8]) -> Result<CloudAnswer, CallError> {
         match self {
             CloudCall::Catalog => Ok(from_json::<WireCatalog>(status, body)?.into()),
             CloudCall::Rent { .. } => Ok(from_json::<WireRented>(status, body)?.into()),
--- a/src/protocol/state/mod.rs
+++ b/src/protocol/state/mod.rs
@@ -195,10 +195,10 @@
     /// Interprets the response to this call.
     pub fn answer(&self, status: u16, body: &[u8]) -> Result<StateAnswer, CallError> {
         match (status, self) {
-            (200, _) => self.success(status, body),
+            (200, _) => self.parse_success(status, body),
             (404, StateCall::Get(_)) => Ok(StateAnswer::Missing),
             (404, StateCall::KeepAlive(_)) => Ok(StateAnswer::LeaseExpired),
-            (400, StateCall::Commit { .. }) if contains(body, NO_SUCH_LEASE) => Ok(StateAnswer::LeaseExpired),
+            (400, StateCall::Commit { .. }) if contains_bytes(body, NO_SUCH_LEASE) => Ok(StateAnswer::LeaseExpired),
             (409, StateCall::Commit { .. }) => {
                 Ok(StateAnswer::Conflict(from_json::<WireConflict>(status, body)?.failed))
             }
@@ -212,7 +212,7 @@
     }
 
     /// Parses the body of an answer with status 200.
-    fn success(&self, status: u16, body: &[u8]) -> Result<StateAnswer, CallError> {
+    fn parse_success(&self, status: u16, body: &[u8]) -> Result<StateAnswer, CallError> {
         match self {
             StateCall::Get(_) => Ok(StateAnswer::Found(from_json::<WireEntry>(status, body)?.into())),
             StateCall::List { .. } => Ok(from_json::<WirePage>(status, body)?.into()),
@@ -235,6 +235,6 @@
 }
 
 /// Returns `true` if `needle` occurs in `body`.
-fn contains(body: &[u8], needle: &[u8]) -> bool {
+fn contains_bytes(body: &[u8], needle: &[u8]) -> bool {
     body.windows(needle.len()).any(|part| part == needle)
 }
--- a/src/protocol/users/submission.rs
+++ b/src/protocol/users/submission.rs
@@ -145,12 +145,12 @@
 
 /// Parses and validates the body of a submission.
 pub(super) fn parse(body: &[u8]) -> Result<JobSpec, InvalidJob> {
-    let (id, value) = parse_identified(body).map_err(|reason| InvalidJob { id: None, reason })?;
+    let (id, value) = parse_body_and_id(body).map_err(|reason| InvalidJob { id: None, reason })?;
     parse_description(&id, &value).map_err(|reason| InvalidJob { id: Some(id), reason })
 }
 
 /// Parses the JSON body and the id of the job.
-fn parse_identified(body: &[u8]) -> Result<(JobId, Value), InvalidReason> {
+fn parse_body_and_id(body: &[u8]) -> Result<(JobId, Value), InvalidReason> {
     let value: Value = serde_json::from_slice(body).map_err(|error| InvalidReason::NotJson(error.to_string()))?;
     let object = value.as_object().ok_or(InvalidReason::NotAnObject)?;
     let id = object.get("id").and_then(Value::as_str).and_then(parse_job_id).ok_or(InvalidReason::Id)?;
--- a/src/storage/range_set.rs
+++ b/src/storage/range_set.rs
@@ -6,7 +6,7 @@
 use std::ops::Range;
 
 /// Length in bytes of the longest text of a range of numbers below 100,000 and its comma: `99998-99999,`.
-const MAX_RANGE_TEXT: usize = 12;
+const MAX_RANGE_TEXT_BYTES: usize = 12;
 
 /// A set of numbers, stored as ascending, non-empty ranges with a gap between each two.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -43,8 +43,8 @@
 
     /// Returns `true` if `n` is a member.
     pub fn contains(&self, n: u32) -> bool {
-        let at = self.ranges.partition_point(|range| range.end <= n);
-        self.ranges.get(at).is_some_and(|range| range.start <= n)
+        let index = self.ranges.partition_point(|range| range.end <= n);
+        self.ranges.get(index).is_some_and(|range| range.start <= n)
     }
 
     /// Returns the members in ascending order.
@@ -77,17 +77,17 @@
         if !self.contains(n) {
             return false;
         }
-        let at = self.ranges.partition_point(|range| range.end <= n);
-        let Range { start, end } = self.ranges[at];
+        let index = self.ranges.partition_point(|range| range.end <= n);
+        let Range { start, end } = self.ranges[index];
         match (start == n, end == n + 1) {
             (true, true) => {
-                self.ranges.remove(at);
+                self.ranges.remove(index);
             }
-            (true, false) => self.ranges[at].start = n + 1,
-            (false, true) => self.ranges[at].end = n,
+            (true, false) => self.ranges[index].start = n + 1,
+            (false, true) => self.ranges[index].end = n,
             (false, false) => {
-                self.ranges[at].end = n;
-                self.ranges.insert(at + 1, n + 1..end);
+                self.ranges[index].end = n;
+                self.ranges.insert(index + 1, n + 1..end);
             }
         }
         true
@@ -115,7 +115,7 @@
         }
         let mut ranges = self.ranges.clone();
         ranges.sort_by_key(|range| Reverse(range.end - range.start));
-        ranges.truncate(bytes / MAX_RANGE_TEXT);
+        ranges.truncate(bytes / MAX_RANGE_TEXT_BYTES);
         ranges.sort_unstable_by_key(|range| range.start);
         RangeSet { ranges }
     }
--- a/src/storage/rate_limiter.rs
+++ b/src/storage/rate_limiter.rs
@@ -50,15 +50,15 @@
 
     /// Returns `true` if the fill level is at least the given fraction of the capacity, so that a request which can
     /// wait does not delay others.
-    pub fn is_filled_to(&mut self, now: Time, share: f64) -> bool {
-        self.is_filled_beyond(now, share, 0.0)
+    pub fn is_filled_to(&mut self, now: Time, fraction: f64) -> bool {
+        self.is_filled_beyond(now, fraction, 0.0)
     }
 
     /// Returns `true` if the fill level is at least the given fraction of the capacity plus `extra_tokens`. A negative
     /// fraction allows a debt.
-    pub fn is_filled_beyond(&mut self, now: Time, share: f64, more: f64) -> bool {
+    pub fn is_filled_beyond(&mut self, now: Time, fraction: f64, extra_tokens: f64) -> bool {
         self.refill(now);
-        self.tokens >= self.burst * share + more
+        self.tokens >= self.burst * fraction + extra_tokens
     }
 
     /// Returns the refill rate in tokens per second.
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -17,10 +17,10 @@
 pub const NO_SHARD: ShardId = ShardId(u32::MAX);
 
 /// Size in bytes of the value of a part record without prerequisites, rounded up.
-const PART_OVERHEAD: usize = 16;
+const PART_OVERHEAD_BYTES: usize = 16;
 
 /// Size in bytes that a prerequisite takes in a part record besides the id: two quotes and a comma.
-const PART_ITEM_OVERHEAD: usize = 3;
+const PREREQUISITE_OVERHEAD_BYTES: usize = 3;
 
 /// Record of the leader of a shard. The revision of the key is the leadership term.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -154,12 +154,12 @@
     let mut parts: Vec<PartRecord> = Vec::new();
     let mut used_bytes = 0;
     for job in prerequisites {
-        let bytes = job.as_str().len() + PART_ITEM_OVERHEAD;
+        let bytes = job.as_str().len() + PREREQUISITE_OVERHEAD_BYTES;
         if let Some(part) = parts.last_mut().filter(|_| used_bytes + bytes <= value_bytes) {
             used_bytes += bytes;
             part.needs.push(job.clone());
         } else {
-            used_bytes = PART_OVERHEAD + bytes;
+            used_bytes = PART_OVERHEAD_BYTES + bytes;
             parts.push(PartRecord { needs: vec![job.clone()] });
         }
     }
