--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -116,16 +116,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CallError {
     /// The service refused the request and did not execute it.
-    #[error("refused")]
+    #[error("request refused without execution (rate limit exceeded: {over_limit})")]
     Refused {
         /// `true` if the rate limit was exceeded, `false` in an outage of the service.
         over_limit: bool,
     },
     /// The outcome is in doubt: the request may have been executed, or may still be executed later.
-    #[error("no answer")]
+    #[error("no conclusive answer; the request may still be executed")]
     NoAnswer,
     /// The protocol does not provide for the answer, because of its HTTP status, given here, or of its body.
-    #[error("unexpected answer with status {0}")]
+    #[error("unexpected answer with HTTP status {0}")]
     Unexpected(u16),
 }
 
--- a/src/storage/write_usage.rs
+++ b/src/storage/write_usage.rs
@@ -91,7 +91,8 @@
         for (index, (kind, usage)) in self.kinds.iter().enumerate() {
             let KindUsage { changes, bytes, refused, largest } = usage;
             let separator = if index > 0 { "; " } else { "" };
-            write!(f, "{separator}{kind}: {changes} changes, {bytes} bytes, largest {largest}, {refused} refused")?;
+            write!(f, "{separator}{kind}: {changes} changes, {bytes} bytes, ")?;
+            write!(f, "largest value {largest} bytes, {refused} refused by the rate limit")?;
         }
         Ok(())
     }
--- a/tests/storage.rs
+++ b/tests/storage.rs
@@ -103,7 +103,8 @@
     usage.refused(vec![RecordKind::of_key("end")]);
     assert_eq!(
         usage.to_string(),
-        "end: 1 changes, 0 bytes, largest 0, 1 refused; live: 2 changes, 14 bytes, largest 7, 0 refused"
+        "end: 1 changes, 0 bytes, largest value 0 bytes, 1 refused by the rate limit; \
+         live: 2 changes, 14 bytes, largest value 7 bytes, 0 refused by the rate limit"
     );
     usage.clear();
     assert!(usage.is_empty());
