--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,8 +1,8 @@
-//! The types that the packages of crowstall share: ids, revisions, quantities and times, and the descriptions of
-//! jobs and machines.
+//! Types shared by all packages of crowstall: ids, revisions, quantities and times, and the specifications of jobs and
+//! machine types.
 //!
-//! Nothing here depends on how the protocols name these things. The names of fields and variants are serialized,
-//! though, in stored records and in messages between controllers, so they must not change.
+//! The types are independent of the names that the protocols use for the same concepts. Stored records and messages
+//! between controllers contain the names of their fields and variants, however, so those names must not change.
 
 #![warn(missing_docs)]
 
--- a/crates/model/src/model/ids.rs
+++ b/crates/model/src/model/ids.rs
@@ -1,4 +1,4 @@
-//! Ids, names, revisions and other numbers as types of their own.
+//! Newtypes for ids, names, revisions and other numbers.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -6,14 +6,14 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// Defines types that wrap a number, so that numbers of different meanings cannot be mixed up.
+/// Defines newtypes of numbers, so that the compiler rejects the use of one kind of number as another.
 macro_rules! number_type {
     ($($(#[$doc:meta])* $name:ident($inner:ty);)*) => {$(
         $(#[$doc])*
         #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
         #[serde(transparent)]
         pub struct $name(
-            /// The number.
+            /// Wrapped number.
             pub $inner,
         );
 
@@ -26,29 +26,29 @@
 }
 
 number_type! {
-    /// A revision of the state service: of the whole store, or of the last change of a key. As the version of a
-    /// key, 0 means that the key does not exist. The revision at which a shard was acquired numbers the leadership
-    /// term.
+    /// Revision of the state service: of the whole store, or of the last change of a key. As the version of a key, 0
+    /// means that the key does not exist. The revision at which leadership of a shard was acquired is the number of the
+    /// leadership term.
     Revision(u64);
-    /// A lease at the state service.
+    /// Id of a lease at the state service.
     LeaseId(u64);
-    /// A fencing token. A worker executes commands only under the highest token that it has seen.
+    /// Fencing token. A worker executes only commands that carry the highest token that it has received so far.
     FencingToken(u64);
-    /// An epoch of a worker. A new one begins whenever the worker's lease has expired.
+    /// Agent epoch of a worker. A new epoch begins whenever the worker lease has expired.
     AgentEpoch(u64);
-    /// The number of a worker's message within its epoch.
+    /// Sequence number of a worker's message within its agent epoch.
     SequenceNumber(u64);
-    /// The number of an attempt at a task. It begins with the leadership term, so no number is used twice.
+    /// Number of an attempt at a task. The leadership term is part of the number, so that no number is used twice.
     AttemptNumber(u64);
-    /// The number of a task within its job, from 0.
+    /// Index of a task within its job, from 0.
     TaskIndex(u32);
-    /// One of the shards into which jobs and machines are divided.
+    /// Number of a shard, from 0. Jobs and machines are partitioned into shards.
     ShardId(u32);
-    /// The position of a controller in the sorted list of all labels.
+    /// Index of a controller in the sorted list of all node labels.
     NodeIndex(u32);
 }
 
-/// Defines types that wrap a text which is cheap to clone.
+/// Defines newtypes of texts that are cheap to clone.
 macro_rules! text_type {
     ($($(#[$doc:meta])* $name:ident;)*) => {$(
         $(#[$doc])*
@@ -57,7 +57,7 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// Wraps a text without checking it.
+            /// Wraps `text` without validating it.
             pub fn new(text: &str) -> Self {
                 $name(Arc::from(text))
             }
@@ -77,26 +77,26 @@
 }
 
 text_type! {
-    /// The id of a job, chosen by its user.
+    /// Id of a job, chosen by its user.
     JobId;
-    /// The id of a machine, chosen by the cloud.
+    /// Id of a machine, chosen by the cloud.
     MachineId;
-    /// The label of a controller. It stays the same when the controller is restarted.
+    /// Label of a controller, which stays the same when the controller is restarted.
     NodeLabel;
-    /// A name that is only compared with others: of a job class, a team, a zone, a machine type or an image.
+    /// Name of a job class, a team, a zone, a machine type or an image; only ever compared with other names.
     Name;
 }
 
-/// A task of a job.
+/// Id of a task, written `JOB/INDEX`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TaskId {
-    /// The job.
+    /// Job that the task belongs to.
     pub job: JobId,
-    /// The number of the task within the job.
+    /// Index of the task within the job.
     pub task: TaskIndex,
 }
 
-/// A text that is not of the form `JOB/NUMBER`.
+/// Error for a text that is not of the form `JOB/INDEX`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("not a task id")]
 pub struct InvalidTaskId;
--- a/crates/model/src/model/job.rs
+++ b/crates/model/src/model/job.rs
@@ -1,34 +1,34 @@
-//! The description of a job as its user submitted it.
+//! Specification of a job as its user submitted it.
 
 use super::{JobId, Name, Resources};
 use serde::{Deserialize, Serialize};
 
-/// What the tasks of a job are.
+/// Kind of a job, which decides when its tasks end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum JobKind {
-    /// A job array: independent tasks, each of which runs to completion.
+    /// Job array: independent tasks, each of which runs to completion.
     Array,
-    /// A service: replicas that run until the job is cancelled.
+    /// Service: replicas that run until the job is cancelled.
     Service,
 }
 
-/// The priority of a job, from the most to the least urgent.
+/// Priority of a job. The derived order puts the highest priority first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Priority {
-    /// The highest priority.
+    /// Highest priority.
     Production,
-    /// The second highest priority.
+    /// Second highest priority.
     High,
-    /// The usual priority.
+    /// Priority of ordinary jobs.
     Normal,
-    /// The lowest priority.
+    /// Lowest priority.
     BestEffort,
 }
 
 impl Priority {
-    /// Returns the next lower priority, or the lowest one if there is none below.
+    /// Returns the next lower priority; [`Priority::BestEffort`] is returned unchanged.
     pub fn next_lower(self) -> Priority {
         match self {
             Priority::Production => Priority::High,
@@ -38,54 +38,54 @@
     }
 }
 
-/// A job as its user described it.
+/// Specification of a job.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// The id.
+    /// Id chosen by the user.
     pub id: JobId,
-    /// The class, for which the settings have an objective.
+    /// Job class. Service-level objectives in the settings refer to it.
     pub class: Name,
-    /// The team whose guarantee and quota apply.
+    /// Team whose guarantee and quota apply.
     pub team: Name,
-    /// Whether the job is an array or a service.
+    /// Job array or service.
     pub kind: JobKind,
-    /// The priority.
+    /// Priority in the queue.
     pub priority: Priority,
-    /// How many tasks the job has.
+    /// Number of tasks.
     pub tasks: u32,
-    /// What each task takes of its machine.
+    /// Resources that each task needs on its machine.
     pub needs: Resources,
-    /// The image that a machine must have before a task can start.
+    /// Image that a machine must have fetched before a task can start.
     pub image: Name,
-    /// The size of the image in GB.
+    /// Size of the image in GB.
     pub image_gb: f64,
-    /// The allowed machine types; `None` allows all.
+    /// Allowed machine types; `None` allows all.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub types: Option<Vec<Name>>,
-    /// The only allowed zone; `None` allows all.
+    /// Only allowed zone; `None` allows all.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<Name>,
-    /// Whether all tasks must run in the same zone.
+    /// `true` if all tasks must run in the same zone.
     #[serde(default, skip_serializing_if = "is_false")]
     pub one_zone: bool,
-    /// Whether a zone may have at most half of the tasks.
+    /// `true` if at most half of the tasks, rounded up, may run in the same zone.
     #[serde(default, skip_serializing_if = "is_false")]
     pub spread: bool,
-    /// Whether tasks may run on spot machines.
+    /// `true` if tasks may run on spot machines.
     #[serde(default, skip_serializing_if = "is_false")]
     pub spot: bool,
-    /// The user's estimate of a task's run time in seconds; 0 for services.
+    /// User's estimate of the run time of a task in seconds; 0 for services.
     pub estimate_s: f64,
-    /// After how many seconds of progress a task saves a checkpoint; 0 if it never does.
+    /// Checkpoint interval in seconds of progress; 0 if tasks save no checkpoints.
     #[serde(default)]
     pub checkpoint_s: f64,
-    /// How many seconds a task needs to save when it is stopped.
+    /// Time in seconds that a task needs to save its progress when it is stopped.
     #[serde(default)]
     pub save_s: f64,
-    /// How many seconds after its submission the job should be complete.
+    /// Time in seconds from the submission until the job should be complete; `None` if it has no deadline.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub deadline_s: Option<f64>,
-    /// Jobs that must be done before any task of this one starts, without those that are known to be done.
+    /// Jobs that must be done before any task of this job starts, except those already known to be done.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub prerequisites: Vec<JobId>,
 }
@@ -95,29 +95,29 @@
 }
 
 impl JobSpec {
-    /// Whether the job may run on machines of this type.
-    pub fn allows_type(&self, name: &Name) -> bool {
-        self.types.as_ref().is_none_or(|types| types.contains(name))
+    /// Returns `true` if the job may run on machines of the type `machine_type`.
+    pub fn allows_type(&self, machine_type: &Name) -> bool {
+        self.types.as_ref().is_none_or(|types| types.contains(machine_type))
     }
 
-    /// Whether the job may run in this zone.
+    /// Returns `true` if the job may run in `zone`.
     pub fn allows_zone(&self, zone: &Name) -> bool {
         self.zone.as_ref().is_none_or(|only| only == zone)
     }
 
-    /// Whether the job may run on such a machine, regardless of its free room and of where the job's other tasks
-    /// are.
-    pub fn allows(&self, kind: &Name, zone: &Name, spot: bool) -> bool {
-        self.allows_type(kind) && self.allows_zone(zone) && (self.spot || !spot)
+    /// Returns `true` if the job may run on a machine with this type, zone and rental model (`spot`), regardless of the
+    /// machine's free resources and of the placement of the job's other tasks.
+    pub fn allows(&self, machine_type: &Name, zone: &Name, spot: bool) -> bool {
+        self.allows_type(machine_type) && self.allows_zone(zone) && (self.spot || !spot)
     }
 
-    /// Returns the most tasks of the job that may run in one zone.
+    /// Returns the maximum number of tasks of the job that may run in the same zone.
     pub fn zone_cap(&self) -> u32 {
         if self.spread { self.tasks.div_ceil(2) } else { u32::MAX }
     }
 }
 
-/// The state in which a job has ended.
+/// State in which a job has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FinalState {
--- a/crates/model/src/model/machine_type.rs
+++ b/crates/model/src/model/machine_type.rs
@@ -1,25 +1,25 @@
-//! The description of a machine type as the cloud's catalog has it.
+//! Description of a machine type in the cloud's catalog.
 
 use super::{Name, Resources};
 use crate::time::Span;
 
-/// A machine type in the cloud's catalog.
+/// Machine type in the cloud's catalog.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MachineType {
-    /// The name of the type.
+    /// Name of the type.
     pub name: Name,
-    /// The resources of a machine.
+    /// Total resources of a machine of this type.
     pub room: Resources,
-    /// How many GB of images a machine caches.
+    /// Size of the image cache of a machine in GB.
     pub cache_gb: f64,
-    /// How many GB of images a machine fetches in a second.
+    /// Rate at which a machine fetches images, in GB per second.
     pub fetch_gb_per_s: f64,
-    /// The price of an ordinary machine per hour.
+    /// Price of an ordinary machine per hour.
     pub price: f64,
-    /// The current price of a spot machine per hour.
+    /// Current price of a spot machine per hour.
     pub spot_price: f64,
-    /// The nominal boot time.
+    /// Nominal boot time.
     pub boot: Span,
-    /// The zones that have machines of this type.
+    /// Zones that offer machines of this type.
     pub zones: Vec<Name>,
 }
--- a/crates/model/src/model/mod.rs
+++ b/crates/model/src/model/mod.rs
@@ -1,4 +1,4 @@
-//! Ids, revisions and quantities as small types, and the descriptions of jobs and machines.
+//! Newtypes for ids, revisions and quantities, and the specifications of jobs and machine types.
 
 mod ids;
 mod job;
--- a/crates/model/src/model/resources.rs
+++ b/crates/model/src/model/resources.rs
@@ -1,31 +1,31 @@
-//! Amounts of resources that tasks take and machines have.
+//! Amounts of resources: the demand of tasks and the capacity and room of machines.
 
 use serde::{Deserialize, Serialize};
 
-/// The most tasks of one job that are taken to fit on a machine.
+/// Upper bound of the number of tasks that [`Resources::slots`] returns, also for tasks that need no resources.
 const MAX_SLOTS: u64 = 100_000;
 
-/// An amount of a resource, counted in millionths of the resource's unit: of a CPU, of a GPU, or of a GB of memory.
+/// Amount of a resource in millionths of the resource's unit: of a CPU, of a GPU, or of a GB of memory.
 ///
-/// Counting in integers keeps sums exact and makes amounts comparable for equality.
+/// Integers keep sums exact and allow comparisons for equality.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Quantity(
-    /// The amount in millionths.
+    /// Amount in millionths of the unit.
     pub u64,
 );
 
 impl Quantity {
-    const PER_UNIT: f64 = 1e6;
+    const MILLIONTHS_PER_UNIT: f64 = 1e6;
 
-    /// Converts from whole units, rounding to the nearest millionth. A negative value becomes 0.
+    /// Converts a value in whole units, rounded to the nearest millionth. A negative value becomes 0.
     pub fn new(value: f64) -> Quantity {
-        Quantity((value.max(0.0) * Quantity::PER_UNIT).round() as u64)
+        Quantity((value.max(0.0) * Quantity::MILLIONTHS_PER_UNIT).round() as u64)
     }
 
     /// Returns the amount in whole units.
     pub fn value(self) -> f64 {
-        self.0 as f64 / Quantity::PER_UNIT
+        self.0 as f64 / Quantity::MILLIONTHS_PER_UNIT
     }
 
     fn saturating_add(self, other: Quantity) -> Quantity {
@@ -36,30 +36,30 @@
         Quantity(self.0.saturating_sub(other.0))
     }
 
-    /// Returns how often `part` fits, without bound if it is zero.
-    fn times_it_holds(self, part: Quantity) -> u64 {
+    /// Returns how many times `part` fits into this amount, or `u64::MAX` if `part` is zero.
+    fn divided_by(self, part: Quantity) -> u64 {
         self.0.checked_div(part.0).unwrap_or(u64::MAX)
     }
 }
 
-/// The resources that a task takes or a machine has.
+/// Amounts of all resources: the demand of a task, or the capacity or room of a machine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Resources {
-    /// CPUs.
+    /// Number of CPUs.
     pub cpus: Quantity,
-    /// GPUs.
+    /// Number of GPUs.
     pub gpus: Quantity,
     /// Memory in GB.
     pub memory: Quantity,
 }
 
 impl Resources {
-    /// Whether `room` has at least this much of every resource.
+    /// Returns `true` if `room` contains at least this amount of every resource.
     pub fn fits_in(&self, room: &Resources) -> bool {
         self.cpus <= room.cpus && self.gpus <= room.gpus && self.memory <= room.memory
     }
 
-    /// Returns the sum of both.
+    /// Returns the sum of `self` and `other`, resource by resource.
     pub fn plus(&self, other: &Resources) -> Resources {
         Resources {
             cpus: self.cpus.saturating_add(other.cpus),
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Returns what is left after taking `other` away, and 0 of a resource that has less.
+    /// Returns the difference of `self` and `other`, resource by resource; 0 where `other` has more.
     pub fn minus(&self, other: &Resources) -> Resources {
         Resources {
             cpus: self.cpus.saturating_sub(other.cpus),
@@ -77,11 +77,11 @@
         }
     }
 
-    /// Returns how many tasks that take `task` fit at the same time.
+    /// Returns the number of tasks with the demand `task` that fit at the same time, at most `MAX_SLOTS`.
     pub fn slots(&self, task: &Resources) -> u32 {
-        let cpus = self.cpus.times_it_holds(task.cpus);
-        let gpus = self.gpus.times_it_holds(task.gpus);
-        let memory = self.memory.times_it_holds(task.memory);
+        let cpus = self.cpus.divided_by(task.cpus);
+        let gpus = self.gpus.divided_by(task.gpus);
+        let memory = self.memory.divided_by(task.memory);
         cpus.min(gpus).min(memory).min(MAX_SLOTS) as u32
     }
 }
--- a/crates/model/src/time.rs
+++ b/crates/model/src/time.rs
@@ -1,43 +1,43 @@
-//! Readings of the steady clock and lengths of time, both in microseconds.
+//! Points in time of the steady (monotonic) clock and durations, both in microseconds.
 
 use serde::{Deserialize, Serialize};
 use std::ops::{Add, AddAssign, Sub};
 
-/// A reading of this process's steady clock. Readings of different processes cannot be compared.
+/// Point in time on the steady clock of this process. Times of different processes cannot be compared.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Time(
-    /// Microseconds since an arbitrary start.
+    /// Microseconds since an arbitrary origin.
     pub u64,
 );
 
-/// A length of time.
+/// Duration.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Span(
-    /// Microseconds.
+    /// Number of microseconds.
     pub u64,
 );
 
-/// How far the steady clocks of two machines may drift apart, as parts in ten thousand. The protocol promises
-/// 0.05 %; twice that is assumed.
-const DRIFT_PER_10K: u64 = 10;
+/// Assumed maximum rate difference between the steady clocks of two machines, in parts per ten thousand. The protocol
+/// guarantees 0.05 %; twice that is assumed.
+const MAX_DRIFT_PER_10K: u64 = 10;
 
 /// Allowance for clocks of low resolution, in microseconds.
-const CLOCK_GRANULARITY: u64 = 1000;
+const CLOCK_GRANULARITY_MICROS: u64 = 1000;
 
 const MICROS_PER_MILLI: u64 = 1000;
 const MICROS_PER_SEC: f64 = 1e6;
 
 impl Span {
-    /// No time.
+    /// Empty span.
     pub const ZERO: Span = Span(0);
 
-    /// Returns a span of so many milliseconds.
+    /// Returns a span of `ms` milliseconds.
     pub const fn millis(ms: u64) -> Span {
         Span(ms * MICROS_PER_MILLI)
     }
 
-    /// Returns a span of so many seconds. A negative number becomes 0.
+    /// Returns a span of `seconds` seconds, or [`Span::ZERO`] if the number is negative.
     pub fn secs(seconds: f64) -> Span {
         Span((seconds.max(0.0) * MICROS_PER_SEC) as u64)
     }
@@ -47,7 +47,7 @@
         self.0 as f64 / MICROS_PER_SEC
     }
 
-    /// Returns the span in whole milliseconds.
+    /// Returns the span in whole milliseconds, rounded down.
     pub fn as_millis(self) -> u64 {
         self.0 / MICROS_PER_MILLI
     }
@@ -57,28 +57,29 @@
         Span((self.0 as f64 * factor) as u64)
     }
 
-    /// Returns the longest time that this span can take by another machine's clock. Wait for this long to be sure
-    /// that a lease held elsewhere has expired.
+    /// Returns the upper bound of the duration that a machine with another clock measures while this span passes here.
+    /// Waiting for this long ensures that a lease of this duration held by another machine has expired.
     pub fn stretched(self) -> Span {
-        Span(self.0 + self.drift())
+        Span(self.0 + self.max_deviation())
     }
 
-    /// Returns the shortest time that this span can take by another machine's clock. Use a lease held here for no
-    /// longer than this.
+    /// Returns the lower bound of the duration that a machine with another clock measures while this span passes here.
+    /// The holder of a lease of this duration must not rely on the lease for longer.
     pub fn shrunk(self) -> Span {
-        Span(self.0.saturating_sub(self.drift()))
+        Span(self.0.saturating_sub(self.max_deviation()))
     }
 
-    fn drift(self) -> u64 {
-        self.0 * DRIFT_PER_10K / 10_000 + CLOCK_GRANULARITY
+    /// Returns the largest possible deviation between two clocks over this span, in microseconds.
+    fn max_deviation(self) -> u64 {
+        self.0 * MAX_DRIFT_PER_10K / 10_000 + CLOCK_GRANULARITY_MICROS
     }
 }
 
 impl Time {
-    /// The arbitrary start of the clock.
+    /// Arbitrary origin of the clock.
     pub const ZERO: Time = Time(0);
 
-    /// Returns the time that has passed since `earlier`, or zero if `earlier` is in the future.
+    /// Returns the time that has passed since `earlier`, or [`Span::ZERO`] if `earlier` is later than `self`.
     pub fn since(self, earlier: Time) -> Span {
         Span(self.0.saturating_sub(earlier.0))
     }
