--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -1,87 +1,87 @@
-//! The reasons for which a configuration is refused.
+//! Errors of a configuration that is refused.
 
 use java_properties::PropertiesError;
 use std::io;
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// Why a configuration cannot be used. The message is a single line that names the field or property at fault.
+/// Reason why a configuration is refused. The message is a single line that names the field or property at fault.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// A file does not exist or cannot be read.
-    #[error("{}: {reason}", file.display())]
+    /// File that does not exist or cannot be read.
+    #[error("cannot read {}: {reason}", file.display())]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         file: PathBuf,
-        /// Why it cannot be read.
+        /// Error returned by the operating system.
         reason: io::Error,
     },
-    /// The settings file is no TOML, a field is missing or has another type.
+    /// Settings file that is not valid TOML, or in which a field is missing or has the wrong type.
     #[error("line {line}: {message}")]
     Toml {
-        /// The line, counted from 1.
+        /// Line number, from 1.
         line: usize,
-        /// What is wrong there.
+        /// Message of the TOML parser.
         message: String,
     },
-    /// A field of the settings file has a value that cannot be used.
+    /// Field of the settings file with an invalid value.
     #[error("{field}: {problem}")]
     InvalidField {
-        /// The path of the field.
+        /// Path of the field, such as `facts.size`.
         field: String,
-        /// What is wrong with its value.
+        /// Violated requirement.
         problem: String,
     },
-    /// A properties file does not follow the syntax of Java properties.
+    /// Properties file that does not follow the syntax of Java properties.
     #[error("properties: {0}")]
     PropertiesSyntax(PropertiesError),
-    /// A property is set that does not exist.
+    /// Key that is not the key of any property.
     #[error("property {key}: no such property")]
     UnknownProperty {
-        /// The key.
+        /// Key of the property.
         key: String,
     },
-    /// The value of a property has the wrong type or lies outside its range.
+    /// Property with a value that has the wrong type or lies outside its range.
     #[error("property {key}: \"{value}\" is not {expected}")]
     InvalidPropertyValue {
-        /// The key.
+        /// Key of the property.
         key: String,
-        /// The value as it is written.
+        /// Value as written in the file, without surrounding white space.
         value: String,
-        /// Which values are valid.
+        /// Description of the valid values.
         expected: String,
     },
-    /// Two properties files set the same property.
+    /// Property that is set in more than one properties file.
     #[error("property {key}: set in two files")]
     PropertySetTwice {
-        /// The key.
+        /// Key of the property.
         key: String,
     },
-    /// Properties that are valid by themselves contradict each other.
+    /// Combination of properties that are valid individually but contradict each other.
     #[error("property {key}: {conflict}")]
     Contradiction {
-        /// The key of one of the properties.
+        /// Key of one of the properties.
         key: &'static str,
-        /// What it contradicts.
+        /// Requirement that another property violates.
         conflict: &'static str,
     },
-    /// An error in the contents of a file.
+    /// Error in the contents of a file.
     #[error("{}: {error}", file.display())]
     InFile {
-        /// The file.
+        /// Path of the file.
         file: PathBuf,
-        /// The error.
+        /// Error in its contents.
         error: Box<ConfigError>,
     },
 }
 
 impl ConfigError {
-    /// Returns the error of a field of the settings file.
-    pub(super) fn field(field: impl Into<String>, problem: impl Into<String>) -> ConfigError {
+    /// Returns the error for an invalid field of the settings file.
+    pub(super) fn invalid_field(field: impl Into<String>, problem: impl Into<String>) -> ConfigError {
         ConfigError::InvalidField { field: field.into(), problem: problem.into() }
     }
 
-    /// Returns this error with the name of the file in front of its message.
+    /// Returns this error with the path of the file in front of the message.
     pub(super) fn in_file(self, file: &Path) -> ConfigError {
         ConfigError::InFile { file: file.to_path_buf(), error: Box::new(self) }
     }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,8 +1,8 @@
 //! Configuration of a controller: the platform's settings file (TOML) and the operators' properties
-//! (Java-style properties files). Both are read and checked once, at start.
+//! (Java-style properties files). Both are read and validated once, at start.
 //!
-//! [`Settings::load`] is the entry point. `platform_file` mirrors the TOML file as it is written, `validation`
-//! turns that into [`Settings`], and `properties` declares the operators' properties, which are read into
+//! [`Settings::load`] is the entry point. `platform_file` declares the TOML file as it is written, `validation`
+//! checks it and converts it to [`Settings`], and `properties` declares the operators' properties, which are read into
 //! [`Properties`].
 
 mod error;
--- a/src/config/platform_file.rs
+++ b/src/config/platform_file.rs
@@ -1,20 +1,20 @@
-//! The platform's settings file as it is written. Field names are the keys of the file; keys that are not listed
-//! here are ignored. The structs are named after the tables, since errors of the TOML reader show their names.
+//! Schema of the platform's settings file. Field names are the keys of the file; unknown keys are ignored. The structs
+//! are named after the tables of the file, since error messages of the TOML parser contain their names.
 
 use super::ConfigError;
 use serde::Deserialize;
 use std::net::SocketAddrV4;
 
-/// The whole settings file.
+/// Top level of the settings file.
 #[derive(Deserialize)]
 pub(super) struct PlatformFile {
-    /// The label of this controller.
+    /// Label of this controller.
     pub label: String,
-    /// The zone of this controller.
+    /// Zone of this controller.
     pub area: String,
-    /// Where users and workers reach this controller.
+    /// Address at which this controller listens for users and workers.
     pub front: SocketAddrV4,
-    /// Where the other controllers reach this one.
+    /// Address at which this controller listens for its peers.
     pub peer_bind: SocketAddrV4,
     #[serde(default)]
     pub peers: Vec<PeerEntry>,
@@ -22,7 +22,7 @@
     pub facts: Facts,
 }
 
-/// Another controller.
+/// Entry for another controller.
 #[derive(Deserialize)]
 pub(super) struct PeerEntry {
     pub label: String,
@@ -31,17 +31,17 @@
     pub peer_addr: SocketAddrV4,
 }
 
-/// Where the services are that a controller uses.
+/// Addresses of the services that a controller uses.
 #[derive(Deserialize)]
 pub(super) struct Services {
     pub cloud: SocketAddrV4,
     pub state: SocketAddrV4,
 }
 
-/// What the platform promises and requires.
+/// Guarantees and requirements of the platform.
 #[derive(Deserialize)]
 pub(super) struct Facts {
-    /// The number of shards.
+    /// Number of shards.
     pub size: u32,
     #[serde(default)]
     pub teams: Vec<TeamEntry>,
@@ -53,7 +53,7 @@
     pub machine_limits: Limits,
 }
 
-/// Guarantees and limits of a team; a limit of 0 is none.
+/// Guarantees (`cpus`, `gpus`) and quotas (`cpus_max`, `gpus_max`) of a team; a quota of 0 means no quota.
 #[derive(Deserialize)]
 pub(super) struct TeamEntry {
     pub name: String,
@@ -67,7 +67,7 @@
     pub gpus_max: f64,
 }
 
-/// A service-level objective.
+/// Service-level objective.
 #[derive(Deserialize)]
 pub(super) struct ObjectiveEntry {
     pub kind: String,
@@ -79,29 +79,34 @@
     pub times: Option<f64>,
 }
 
-/// Times of the worker protocol.
+/// Time limits of the worker protocol.
 #[derive(Deserialize)]
 pub(super) struct Workers {
-    /// The heartbeat interval.
+    /// Interval between worker heartbeats in seconds.
     pub report_s: f64,
+    /// Duration of a worker lease in seconds.
     pub lease_s: f64,
-    /// The time within which a cancelled task must have stopped.
+    /// Time in seconds within which the tasks of a cancelled job must have stopped.
     pub cancel_s: f64,
 }
 
 /// Limits of the state service.
 #[derive(Deserialize)]
 pub(super) struct State {
+    /// Requests per second.
     pub rps: f64,
+    /// Writes per second.
     pub write_rps: f64,
+    /// Maximum size of a value in KiB.
     pub value_kb: f64,
+    /// Maximum number of changes in a transaction.
     pub txn_ops: u32,
-    /// The limits that will be in force from some moment on, without notice.
+    /// Announced limits, which come into force at an unknown time and without notice.
     #[serde(default)]
     pub next: NextState,
 }
 
-/// Announced limits of the state service; what is not set stays as it is.
+/// Announced limits of the state service; `None` means that the current limit stays in force.
 #[derive(Deserialize, Default)]
 pub(super) struct NextState {
     pub rps: Option<f64>,
@@ -114,27 +119,28 @@
 #[derive(Deserialize)]
 pub(super) struct Cloud {
     pub rps: f64,
-    /// By how much the list of machines may be out of date.
+    /// Maximum time in seconds by which the list of machines lags behind.
     pub list_lag_s: f64,
 }
 
-/// Limits of the machine on which this controller runs.
+/// Limits of the host on which this controller runs.
 #[derive(Deserialize)]
 pub(super) struct Limits {
+    /// Maximum number of open sockets.
     pub max_sockets: u32,
 }
 
 impl PlatformFile {
-    /// Reads the file's text.
+    /// Parses the text of the settings file.
     pub fn parse(text: &str) -> Result<PlatformFile, ConfigError> {
         toml::from_str(text).map_err(|error| ConfigError::Toml {
-            line: error.span().map_or(1, |span| line_of(text, span.start)),
+            line: error.span().map_or(1, |span| line_number(text, span.start)),
             message: error.message().replace('\n', " "),
         })
     }
 }
 
-/// The number of the line, from 1 on, in which the byte at `offset` stands.
-fn line_of(text: &str, offset: usize) -> usize {
+/// Returns the number, from 1, of the line that contains the byte at `offset`.
+fn line_number(text: &str, offset: usize) -> usize {
     text[..offset].matches('\n').count() + 1
 }
--- a/src/config/properties.rs
+++ b/src/config/properties.rs
@@ -1,4 +1,4 @@
-//! The operators' own properties: one struct for each group, with the keys, ranges and defaults beside the fields.
+//! The operators' properties: one struct for each group, with the key, range and default of each field.
 
 use super::ConfigError;
 use super::property_table::{PropertyGroup, PropertyTable};
@@ -9,41 +9,41 @@
 use crate::time::Span;
 use serde::Deserialize;
 
-/// The part of the worker lease for which a leadership term lives without a renewal, unless an operator sets it.
-const DEFAULT_LEADER_LEASE_PART: f64 = 0.4;
+/// Default time to live of a leader lease, as a fraction of the duration of the worker lease.
+const DEFAULT_LEADER_LEASE_FRACTION: f64 = 0.4;
 
-/// The operators' properties, with their defaults where nothing is set.
+/// Values of the operators' properties; a property that is not set has its default.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Properties {
-    /// How long a controller's leadership lives without a renewal.
+    /// Time to live of a controller's leader lease without a renewal.
     pub leader_lease_ttl: Span,
-    /// How often the leaders of all shards are read.
+    /// Interval at which the leadership records of all shards are polled.
     pub leadership_poll_interval: Span,
-    /// How long an idle machine is kept before it is returned.
+    /// Time after which an idle machine is deleted.
     pub idle_machine_timeout: Span,
-    /// How many times the resources of the running replicas of services the fleet should hold.
+    /// Factor by which the target capacity of the fleet exceeds the demand of the running service replicas.
     pub headroom: f64,
-    /// How long a task may be skipped before it reserves the next machine with enough room.
+    /// Time for which a task may be skipped in the queue before it reserves the next machine with enough room.
     pub skip_limit: Span,
-    /// How often the progress of jobs is recorded.
+    /// Interval at which the progress of jobs is recorded.
     pub progress_interval: Span,
-    /// How many shards the teams are spread over.
+    /// Number of shards over which the teams are distributed.
     pub team_shards: u32,
-    /// How many of the newest ended jobs are kept in memory.
+    /// Maximum number of ended jobs kept in memory; the oldest are evicted first.
     pub ended_jobs_kept: usize,
-    /// Learning run times and forecasting finish times.
+    /// Properties of run time learning and finish time forecasts.
     pub forecast: ForecastProperties,
-    /// Recovery after a failover.
+    /// Properties of the recovery after a failover.
     pub recovery: RecoveryProperties,
-    /// Replacing a failed leader early.
+    /// Properties of early failover.
     pub standby: StandbyProperties,
 }
 
-/// Leadership, fleet, queue, records and shards.
+/// Properties of leadership, the fleet, the queue, records and shards.
 #[derive(Deserialize)]
 #[serde(default, deny_unknown_fields)]
 struct GeneralProperties {
-    /// Depends on the worker lease where it is not set.
+    /// If `None`, the time to live is derived from the worker lease.
     #[serde(rename = "claim.life.ms", deserialize_with = "optional_milliseconds::<1000, 60_000, _>")]
     leader_lease_ttl: Option<Span>,
     #[serde(rename = "claim.watch.ms", deserialize_with = "milliseconds::<100, 10_000, _>")]
@@ -77,26 +77,26 @@
     }
 }
 
-/// Learning run times and forecasting finish times.
+/// Properties of run time learning and finish time forecasts (`forecast.*`).
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ForecastProperties {
-    /// Whether run times are learned and finish times are forecast.
+    /// `true` if run times are learned and finish times are forecast.
     #[serde(rename = "forecast.enabled", deserialize_with = "boolean")]
     pub enabled: bool,
-    /// Whether the queue and the fleet use what was learned.
+    /// `true` if the queue and the fleet use the learned run times; if `false`, only users see the forecasts.
     #[serde(rename = "forecast.plans", deserialize_with = "boolean")]
     pub plans: bool,
-    /// How often what was learned is saved at most.
+    /// Minimum interval between two saved snapshots of the learned run times.
     #[serde(rename = "forecast.snapshot.ms", deserialize_with = "milliseconds::<5000, 3_600_000, _>")]
     pub snapshot: Span,
-    /// How much memory what was learned may take, in bytes.
+    /// Maximum memory for the learned run times, in bytes.
     #[serde(rename = "forecast.memory.kib", deserialize_with = "kibibytes::<16, 16_384, _>")]
     pub memory: usize,
-    /// The time after which a sample counts half.
+    /// Time after which the weight of a sample has halved.
     #[serde(rename = "forecast.half-life.s", deserialize_with = "seconds::<60, 31_536_000, _>")]
     pub half_life: Span,
-    /// Classes whose samples are discarded.
+    /// Job classes whose samples are discarded.
     #[serde(rename = "forecast.forget", deserialize_with = "names")]
     pub forget: Vec<Name>,
 }
@@ -114,20 +114,22 @@
     }
 }
 
-/// Recovery after a failover.
+/// Properties of the recovery after a failover (`recovery.*`).
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct RecoveryProperties {
-    /// Whether a restarted controller acquires the shards it led before at once.
+    /// `true` if a restarted controller reacquires the shards that it led before at once, instead of waiting for its
+    /// former node lease to expire.
     #[serde(rename = "recovery.reclaim", deserialize_with = "boolean")]
     pub reacquire_own: bool,
-    /// Whether starts are allowed job by job and team by team, rather than for all at once.
+    /// `true` if task starts are allowed separately for each job, team and zone as reconciliation proceeds, instead of
+    /// only when every machine is reconciled.
     #[serde(rename = "recovery.piecewise", deserialize_with = "boolean")]
     pub piecewise: bool,
-    /// How many machines are asked for their tasks at a time.
+    /// Maximum number of machines queried for their tasks at the same time.
     #[serde(rename = "recovery.asks", deserialize_with = "count::<1, 1000, _>")]
     pub asks: usize,
-    /// Whether tasks are started without a leader lease for as long as the workers' leases are renewed.
+    /// `true` if tasks are started without a leader lease for as long as worker leases are renewed.
     #[serde(rename = "recovery.hold-on", deserialize_with = "boolean")]
     pub hold_on: bool,
 }
@@ -138,23 +140,23 @@
     }
 }
 
-/// Replacing a failed leader before its lease has expired.
+/// Properties of early failover (`standby.*`): replacing a failed leader before its node lease has expired.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct StandbyProperties {
-    /// Whether a failed leader is replaced early.
+    /// `true` if a failed leader is replaced early.
     #[serde(rename = "standby.enabled", deserialize_with = "boolean")]
     pub enabled: bool,
-    /// How long a leader serves reads from memory after its newest successful leadership check.
+    /// Time for which a leader serves reads from memory after its last successful leadership check.
     #[serde(rename = "standby.tells.ms", deserialize_with = "milliseconds::<500, 60_000, _>")]
     pub read_window: Span,
-    /// How long at least a leader must have been silent before it counts as failed.
+    /// Minimum time without a sign of life after which a leader is considered failed.
     #[serde(rename = "standby.patience.ms", deserialize_with = "milliseconds::<1000, 60_000, _>")]
     pub leader_timeout: Span,
-    /// How often the first candidate for a shard updates its replica of the records; never if zero.
+    /// Interval at which the first candidate for a shard updates its replica of the records; 0 disables the replica.
     #[serde(rename = "standby.follow.ms", deserialize_with = "milliseconds::<0, 60_000, _>")]
     pub replica_interval: Span,
-    /// The most records of a kind that are replicated.
+    /// Maximum number of replicated records of each kind.
     #[serde(rename = "standby.follow.most", deserialize_with = "count::<100, 1_000_000, _>")]
     pub max_replicated: usize,
 }
@@ -172,7 +174,7 @@
 }
 
 impl Properties {
-    /// Reads the operators' properties. Of several errors, that of the first key in alphabetical order is returned.
+    /// Reads the operators' properties. Of several errors, the one for the first key in alphabetical order is returned.
     pub(super) fn read(table: &PropertyTable, worker_lease: Span) -> Result<Properties, ConfigError> {
         let mut errors = Vec::new();
         let general: GeneralProperties = table.read_group(PropertyGroup::General, &mut errors);
@@ -182,7 +184,7 @@
         if let Some(first) = errors.into_iter().min_by(|a, b| a.key.cmp(&b.key)) {
             return Err(first.into());
         }
-        let default_ttl = worker_lease.times(DEFAULT_LEADER_LEASE_PART);
+        let default_ttl = worker_lease.times(DEFAULT_LEADER_LEASE_FRACTION);
         let properties = Properties {
             leader_lease_ttl: general.leader_lease_ttl.unwrap_or(default_ttl),
             leadership_poll_interval: general.leadership_poll_interval,
--- a/src/config/property_table.rs
+++ b/src/config/property_table.rs
@@ -1,4 +1,4 @@
-//! The properties of all files as a table of keys and texts, and serde's access to them.
+//! Table of the properties of all files, and its conversion to structs by serde.
 
 use super::ConfigError;
 use serde::de::value::{BorrowedStrDeserializer, MapDeserializer};
@@ -7,7 +7,7 @@
 use std::fmt;
 use thiserror::Error;
 
-/// The properties that are read into one struct.
+/// Group of properties that are read into the same struct.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum PropertyGroup {
     General,
@@ -17,7 +17,7 @@
 }
 
 impl PropertyGroup {
-    /// The group of a key, by the part before its first period.
+    /// Returns the group of a key, which is decided by the part before its first period.
     fn of(key: &str) -> PropertyGroup {
         match key.split('.').next() {
             Some("forecast") => PropertyGroup::Forecast,
@@ -28,18 +28,18 @@
     }
 }
 
-/// The properties of all files by key, as texts.
+/// Unparsed values of the properties of all files by key.
 #[derive(Debug, Default)]
 pub(super) struct PropertyTable(BTreeMap<String, String>);
 
 impl PropertyTable {
-    /// Reads the text of a properties file.
+    /// Parses the text of a properties file.
     pub fn parse(text: &str) -> Result<PropertyTable, ConfigError> {
         let entries = java_properties::read(text.as_bytes()).map_err(ConfigError::PropertiesSyntax)?;
         Ok(PropertyTable(entries.into_iter().collect()))
     }
 
-    /// Adds the properties of another file; no property may be set in both.
+    /// Adds the properties of another file. Fails if a property is set in both.
     pub fn merge(&mut self, other: PropertyTable) -> Result<(), ConfigError> {
         for (key, value) in other.0 {
             if self.0.contains_key(&key) {
@@ -50,7 +50,7 @@
         Ok(())
     }
 
-    /// Reads the properties of a group. On an error, adds that to `errors` and returns the defaults.
+    /// Reads the properties of a group. On an error, appends the error to `errors` and returns the defaults.
     pub fn read_group<'a, T: Deserialize<'a> + Default>(
         &'a self,
         group: PropertyGroup,
@@ -67,7 +67,7 @@
     }
 }
 
-/// A property that cannot be read.
+/// Error for a property that cannot be read.
 pub(super) struct PropertyError {
     pub key: String,
     value: String,
@@ -84,7 +84,7 @@
     }
 }
 
-/// What is wrong with a property, as serde reports it; the key and the value are added by the caller.
+/// Error that serde reports for a property; [`PropertyTable::read_group`] adds the key and the value.
 #[derive(Debug, Error)]
 enum PropertyProblem {
     #[error("no such property")]
--- a/src/config/property_values.rs
+++ b/src/config/property_values.rs
@@ -1,5 +1,5 @@
-//! Reading of single property values. All values are texts in a properties file; each function here reads one type
-//! and checks its range. The functions are meant for `#[serde(deserialize_with = ...)]`.
+//! Parsers of property values for `#[serde(deserialize_with = ...)]`. Each function parses the text of a value as one
+//! type and checks its range.
 
 use crate::model::Name;
 use crate::time::Span;
@@ -9,14 +9,14 @@
 const BYTES_PER_KIB: usize = 1024;
 const MILLIS_PER_SECOND: u64 = 1000;
 
-/// Reads a value that `accepts` holds valid; `expected` says in the error message what would have been valid.
-fn parse_if<'de, T: FromStr, D: Deserializer<'de>>(
+/// Reads a value that satisfies `is_valid`; `expected` describes the valid values in the error message.
+fn parse_valid<'de, T: FromStr, D: Deserializer<'de>>(
     deserializer: D,
     expected: &str,
-    accepts: impl FnOnce(&T) -> bool,
+    is_valid: impl FnOnce(&T) -> bool,
 ) -> Result<T, D::Error> {
     let text = <&str>::deserialize(deserializer)?;
-    match text.parse().ok().filter(accepts) {
+    match text.parse().ok().filter(is_valid) {
         Some(value) => Ok(value),
         None => Err(D::Error::invalid_value(Unexpected::Str(text), &expected)),
     }
@@ -24,7 +24,7 @@
 
 /// Reads `true` or `false`.
 pub(super) fn boolean<'de, D: Deserializer<'de>>(deserializer: D) -> Result<bool, D::Error> {
-    parse_if(deserializer, "true or false", |_| true)
+    parse_valid(deserializer, "true or false", |_| true)
 }
 
 /// Reads a number of milliseconds from `MIN` to `MAX`.
@@ -32,10 +32,10 @@
     deserializer: D,
 ) -> Result<Span, D::Error> {
     let expected = format!("a whole number of milliseconds from {MIN} to {MAX}");
-    parse_if(deserializer, &expected, |number| (MIN..=MAX).contains(number)).map(Span::millis)
+    parse_valid(deserializer, &expected, |number| (MIN..=MAX).contains(number)).map(Span::millis)
 }
 
-/// Reads a number of milliseconds from `MIN` to `MAX` for a property whose default depends on other settings.
+/// Reads a number of milliseconds from `MIN` to `MAX` for a property whose default is derived from other settings.
 pub(super) fn optional_milliseconds<'de, const MIN: u64, const MAX: u64, D: Deserializer<'de>>(
     deserializer: D,
 ) -> Result<Option<Span>, D::Error> {
@@ -47,16 +47,16 @@
     deserializer: D,
 ) -> Result<Span, D::Error> {
     let expected = format!("a whole number of seconds from {MIN} to {MAX}");
-    let seconds: u64 = parse_if(deserializer, &expected, |number| (MIN..=MAX).contains(number))?;
+    let seconds: u64 = parse_valid(deserializer, &expected, |number| (MIN..=MAX).contains(number))?;
     Ok(Span::millis(seconds * MILLIS_PER_SECOND))
 }
 
-/// Reads a number of KiB from `MIN` to `MAX` and returns the bytes.
+/// Reads a number of KiB from `MIN` to `MAX` and returns the number of bytes.
 pub(super) fn kibibytes<'de, const MIN: usize, const MAX: usize, D: Deserializer<'de>>(
     deserializer: D,
 ) -> Result<usize, D::Error> {
     let expected = format!("a whole number of KiB from {MIN} to {MAX}");
-    let kibibytes: usize = parse_if(deserializer, &expected, |number| (MIN..=MAX).contains(number))?;
+    let kibibytes: usize = parse_valid(deserializer, &expected, |number| (MIN..=MAX).contains(number))?;
     Ok(kibibytes * BYTES_PER_KIB)
 }
 
@@ -65,13 +65,13 @@
     deserializer: D,
 ) -> Result<usize, D::Error> {
     let expected = format!("a whole number from {MIN} to {MAX}");
-    parse_if(deserializer, &expected, |number| (MIN..=MAX).contains(number))
+    parse_valid(deserializer, &expected, |number| (MIN..=MAX).contains(number))
 }
 
 /// Reads a count of at most `MAX`.
 pub(super) fn count_up_to<'de, const MAX: usize, D: Deserializer<'de>>(deserializer: D) -> Result<usize, D::Error> {
     let expected = format!("a whole number up to {MAX}");
-    parse_if(deserializer, &expected, |number| *number <= MAX)
+    parse_valid(deserializer, &expected, |number| *number <= MAX)
 }
 
 /// Reads a number of shards from `MIN` to `MAX`.
@@ -79,7 +79,7 @@
     deserializer: D,
 ) -> Result<u32, D::Error> {
     let expected = format!("a whole number from {MIN} to {MAX}");
-    parse_if(deserializer, &expected, |number| (MIN..=MAX).contains(number))
+    parse_valid(deserializer, &expected, |number| (MIN..=MAX).contains(number))
 }
 
 /// Reads a factor, possibly with decimals, from `MIN` to `MAX`.
@@ -87,10 +87,10 @@
     deserializer: D,
 ) -> Result<f64, D::Error> {
     let expected = format!("a number from {MIN} to {MAX}");
-    parse_if(deserializer, &expected, |number| (f64::from(MIN)..=f64::from(MAX)).contains(number))
+    parse_valid(deserializer, &expected, |number| (f64::from(MIN)..=f64::from(MAX)).contains(number))
 }
 
-/// Reads names that are separated by commas; empty ones are left out.
+/// Reads a list of names separated by commas; empty names are ignored.
 pub(super) fn names<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Vec<Name>, D::Error> {
     let text = <&str>::deserialize(deserializer)?;
     Ok(text.split(',').map(str::trim).filter(|name| !name.is_empty()).map(Name::new).collect())
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -1,4 +1,4 @@
-//! The settings on which a controller acts.
+//! Validated settings of a controller.
 
 use super::platform_file::PlatformFile;
 use super::property_table::PropertyTable;
@@ -11,101 +11,102 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-/// What a team is guaranteed and what it may use at most; a limit that is not set is none.
+/// Guaranteed resources and quotas of a team. A quota of `None` means that the use is not limited.
 #[derive(Clone, Debug, Default)]
 pub struct TeamLimits {
-    /// The CPUs that the team is entitled to.
+    /// Guaranteed number of CPUs.
     pub cpus: Quantity,
-    /// The GPUs that the team is entitled to.
+    /// Guaranteed number of GPUs.
     pub gpus: Quantity,
-    /// The most CPUs that the team may use.
+    /// Quota of CPUs.
     pub cpus_max: Option<Quantity>,
-    /// The most GPUs that the team may use.
+    /// Quota of GPUs.
     pub gpus_max: Option<Quantity>,
 }
 
 impl TeamLimits {
-    /// Whether the team's use of any resource is limited.
+    /// Returns `true` if the team has a quota for any resource.
     pub fn is_limited(&self) -> bool {
         self.cpus_max.is_some() || self.gpus_max.is_some()
     }
 }
 
-/// Everything that a controller has to know at start: the platform's settings, checked, and the operators' properties.
+/// Configuration of a controller: the validated settings of the platform and the operators' properties.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The label of this controller.
+    /// Label of this controller.
     pub label: NodeLabel,
-    /// The zone of this controller.
+    /// Zone of this controller.
     pub zone: Name,
-    /// Where this controller listens for users and workers.
+    /// Address at which this controller listens for users and workers.
     pub front: SocketAddrV4,
-    /// Where this controller listens for its peers.
+    /// Address at which this controller listens for its peers.
     pub peer_bind: SocketAddrV4,
-    /// All controllers in the order of their labels, this one included.
+    /// Labels of all controllers, this one included, in ascending order.
     pub nodes: Vec<NodeLabel>,
-    /// The index of this controller in `nodes`.
+    /// Index of this controller in `nodes`.
     pub me: NodeIndex,
-    /// The zone of each controller.
+    /// Zone of each controller.
     pub node_zones: BTreeMap<NodeLabel, Name>,
-    /// The other controllers and their addresses.
+    /// Labels and peer addresses of the other controllers.
     pub peers: Vec<(NodeLabel, SocketAddrV4)>,
-    /// The address of the cloud service.
+    /// Address of the cloud service.
     pub cloud_addr: SocketAddrV4,
-    /// The address of the state service.
+    /// Address of the state service.
     pub state_addr: SocketAddrV4,
-    /// The number of shards.
+    /// Number of shards.
     pub shards: u32,
-    /// Guarantees and limits of the teams.
+    /// Guaranteed resources and quotas of the teams.
     pub teams: BTreeMap<Name, TeamLimits>,
-    /// The times within which a class's jobs should finish, the strictest first.
+    /// Objectives for the time from submission to the end of a job, by job class; the strictest first.
     pub finish_within: BTreeMap<Name, Vec<Span>>,
-    /// The time within which a class's tasks should start, the strictest if there are several.
+    /// Strictest objective for the time that a task waits before it starts, by job class.
     pub start_within: BTreeMap<Name, Span>,
-    /// How often a worker sends a heartbeat.
+    /// Interval between the heartbeats of a worker.
     pub heartbeat_interval: Span,
-    /// How long a worker's lease lasts.
+    /// Duration of a worker lease.
     pub worker_lease: Span,
-    /// How long cancelled tasks may go on running.
+    /// Bounds on the time for which tasks of a cancelled job may continue to run.
     pub cancellation: CancellationBounds,
-    /// The requests a second that the state service accepts.
+    /// Rate limit of the state service in requests per second; the stricter of the current and the announced limit.
     pub state_rps: f64,
-    /// The writes a second that the state service accepts, announced limits included.
+    /// Rate limit of the state service in writes per second; the stricter of the current and the announced limit.
     pub state_writes: f64,
-    /// The writes a second that the state service accepts before the announced limits are in force.
+    /// Current rate limit of the state service in writes per second, before the announced limit comes into force.
     pub state_writes_now: f64,
-    /// The size of the largest value that the state service stores.
+    /// Maximum size of a value at the state service, in bytes.
     pub value_bytes: usize,
-    /// The most changes in a transaction of the state service.
+    /// Maximum number of changes in a transaction of the state service.
     pub txn_ops: usize,
-    /// The requests a second that the cloud service accepts.
+    /// Rate limit of the cloud service in requests per second.
     pub cloud_rps: f64,
-    /// By how much the cloud's list of machines may be out of date.
+    /// Maximum time by which the cloud's list of machines lags behind.
     pub list_lag: Span,
-    /// The most sockets that this process may have open.
+    /// Maximum number of sockets that this process may have open.
     pub max_sockets: usize,
-    /// A digest of all teams' limits; equal at two controllers if and only if their limits are the same.
+    /// Digest of the quotas of all teams; equal at two controllers if and only if their quotas are the same.
     pub limits_digest: String,
-    /// By how many times its deadline a job of a class may be late and still count, where that is known.
+    /// Factor by job class, at least 1, by which the time to the deadline of a job is multiplied to get the time until
+    /// which its result is still of use. Classes without such an objective have no entry.
     pub late_factors: Arc<BTreeMap<Name, f64>>,
-    /// The operators' own settings.
+    /// The operators' properties.
     pub properties: Properties,
 }
 
 impl Settings {
-    /// The number of shards that take the teams' jobs. These are the shards with the lowest numbers.
+    /// Returns the number of shards that accept jobs of teams. The shards with the lowest numbers are used.
     pub fn team_shards(&self) -> u32 {
         self.properties.team_shards.min(self.shards)
     }
 
-    /// Reads the platform's settings file and any number of properties files.
+    /// Reads and validates the platform's settings file and any number of properties files.
     pub fn load(path: &Path, properties: &[PathBuf]) -> Result<Settings, ConfigError> {
         let table = load_properties(properties)?;
         let text = read_file(path)?;
         Settings::from_texts(&text, &table).map_err(|error| error.in_file(path))
     }
 
-    /// Reads settings and properties from their texts.
+    /// Reads and validates settings and properties from the contents of their files.
     pub fn parse(text: &str, properties: Option<&str>) -> Result<Settings, ConfigError> {
         let table = properties.map(PropertyTable::parse).transpose()?.unwrap_or_default();
         Settings::from_texts(text, &table)
--- a/src/config/validation.rs
+++ b/src/config/validation.rs
@@ -1,4 +1,4 @@
-//! Checks the platform's settings file and turns it into [`Settings`].
+//! Validation of the platform's settings file and its conversion to [`Settings`].
 
 use super::platform_file::{Facts, ObjectiveEntry, PlatformFile, State, TeamEntry, Workers};
 use super::property_table::PropertyTable;
@@ -11,26 +11,27 @@
 use std::net::SocketAddrV4;
 use std::sync::Arc;
 
-/// The fewest changes that a transaction must have room for: a job that ends moves from `live` to `end`, acquiring
-/// leadership also writes `shard/last`, and accepting a job for another shard also writes a hand-off record.
+/// Minimum number of changes that a transaction must be able to contain: the end of a job deletes its `live` key and
+/// writes its `end` key, acquiring leadership also writes `shard/last`, and accepting a job for another shard also
+/// writes a hand-off record.
 const MIN_TRANSACTION_CHANGES: u32 = 2;
-/// The size in KiB that a value must be allowed to have: the record of a small job takes as much, and so may other
-/// records whose size is not bounded otherwise.
+/// Lower bound of the maximum size of a value in KiB: the record of a small job takes as much, and so may other records
+/// whose size is not bounded otherwise.
 const MIN_VALUE_KB: f64 = 1.0;
 const BYTES_PER_KB: f64 = 1024.0;
 const MAX_SHARDS: u32 = 1000;
-/// Fewer sockets than that do not suffice for the services, the peers and the users together.
+/// Minimum number of sockets; fewer do not suffice for the services, the peers and the users together.
 const MIN_SOCKETS: u32 = 32;
-/// How many bytes of a SHA-256 tell the limits of teams apart.
-const LIMITS_DIGEST_BYTES: usize = 16;
+/// Number of bytes of the SHA-256 digest of the team quotas that are kept.
+const QUOTAS_DIGEST_BYTES: usize = 16;
 
 impl PlatformFile {
-    /// Checks the file and the properties and returns them as settings.
+    /// Validates the file and the properties and converts them to settings.
     pub(super) fn validate(self, properties: &PropertyTable) -> Result<Settings, ConfigError> {
         let facts = &self.facts;
-        let CheckedFacts { cancellation, state } = facts.check()?;
+        let DerivedFacts { cancellation, state } = facts.check()?;
         let cluster = Cluster::of(&self)?;
-        let teams = team_limits(&facts.teams)?;
+        let teams = teams_by_name(&facts.teams)?;
         let objectives = Objectives::collect(&facts.objectives);
         let properties = Properties::read(properties, cancellation.worker_lease)?;
         Ok(Settings {
@@ -45,7 +46,7 @@
             cloud_addr: self.services.cloud,
             state_addr: self.services.state,
             shards: facts.size,
-            limits_digest: digest_of_limits(&teams),
+            limits_digest: digest_of_quotas(&teams),
             teams,
             finish_within: objectives.finish_within,
             start_within: objectives.start_within,
@@ -66,9 +67,9 @@
     }
 }
 
-/// The controllers of the cluster.
+/// All controllers of the cluster, as listed in the settings file.
 struct Cluster {
-    /// All controllers in the order of their labels.
+    /// Labels of all controllers in ascending order.
     nodes: Vec<NodeLabel>,
     me: NodeIndex,
     zones: BTreeMap<NodeLabel, Name>,
@@ -80,10 +81,10 @@
         let label = NodeLabel::new(&file.label);
         let peer_zones = file.peers.iter().map(|peer| (NodeLabel::new(&peer.label), Name::new(&peer.area)));
         let zones: BTreeMap<_, _> = peer_zones.chain([(label.clone(), Name::new(&file.area))]).collect();
-        // Controllers with the same label share an entry.
+        // Controllers with the same label share an entry of `zones`.
         let has_duplicates = zones.len() < file.peers.len() + 1;
         if has_duplicates {
-            return Err(ConfigError::field("peers", "a label stands there twice"));
+            return Err(ConfigError::invalid_field("peers", "a label is used twice"));
         }
         let nodes: Vec<NodeLabel> = zones.keys().cloned().collect();
         let position = nodes.iter().position(|node| *node == label).unwrap_or(0);
@@ -92,20 +93,20 @@
     }
 }
 
-/// What the checks of the facts bring besides the facts themselves.
-struct CheckedFacts {
+/// Values that the validation of [`Facts`] derives.
+struct DerivedFacts {
     cancellation: CancellationBounds,
     state: EffectiveStateLimits,
 }
 
 impl Facts {
-    fn check(&self) -> Result<CheckedFacts, ConfigError> {
+    fn check(&self) -> Result<DerivedFacts, ConfigError> {
         self.check_positive_numbers()?;
         let cancellation = self.workers.cancellation()?;
         check_not_negative("facts.cloud.list_lag_s", self.cloud.list_lag_s)?;
         let state = self.state.validate()?;
         self.check_sizes()?;
-        Ok(CheckedFacts { cancellation, state })
+        Ok(DerivedFacts { cancellation, state })
     }
 
     fn check_positive_numbers(&self) -> Result<(), ConfigError> {
@@ -120,11 +121,11 @@
 
     fn check_sizes(&self) -> Result<(), ConfigError> {
         if !(1..=MAX_SHARDS).contains(&self.size) {
-            return Err(ConfigError::field("facts.size", format!("not a number from 1 to {MAX_SHARDS}")));
+            return Err(ConfigError::invalid_field("facts.size", format!("not a number from 1 to {MAX_SHARDS}")));
         }
         if self.machine_limits.max_sockets < MIN_SOCKETS {
-            let problem = format!("less than {MIN_SOCKETS}");
-            return Err(ConfigError::field("facts.machine_limits.max_sockets", problem));
+            let problem = format!("must be at least {MIN_SOCKETS}");
+            return Err(ConfigError::invalid_field("facts.machine_limits.max_sockets", problem));
         }
         Ok(())
     }
@@ -137,14 +138,14 @@
         if !cancellation.can_be_kept() {
             // A task on a machine that cannot be reached stops only when the machine's lease expires.
             let problem = "must be longer than facts.workers.lease_s by more than 2 s";
-            return Err(ConfigError::field("facts.workers.cancel_s", problem));
+            return Err(ConfigError::invalid_field("facts.workers.cancel_s", problem));
         }
         Ok(cancellation)
     }
 }
 
-/// The limits of the state service that a controller keeps to from its first request on: the stricter of those in
-/// force and those announced.
+/// Limits of the state service that a controller observes from its first request on: the stricter of the current and
+/// the announced limit.
 struct EffectiveStateLimits {
     rps: f64,
     write_rps: f64,
@@ -165,7 +166,7 @@
         if value_kb < MIN_VALUE_KB {
             let is_announced = value_kb < self.value_kb;
             let field = if is_announced { "facts.state.next.value_kb" } else { "facts.state.value_kb" };
-            return Err(ConfigError::field(field, format!("at least {MIN_VALUE_KB} is needed")));
+            return Err(ConfigError::invalid_field(field, format!("must be at least {MIN_VALUE_KB}")));
         }
         Ok(EffectiveStateLimits {
             rps: stricter(self.rps, next.rps),
@@ -176,15 +177,15 @@
     }
 }
 
-fn stricter(now: f64, next: Option<f64>) -> f64 {
-    next.map_or(now, |next| next.min(now))
+fn stricter(current: f64, announced: Option<f64>) -> f64 {
+    announced.map_or(current, |announced| announced.min(current))
 }
 
 fn check_positive(field: &str, value: f64) -> Result<(), ConfigError> {
     if value.is_finite() && value > 0.0 {
         Ok(())
     } else {
-        Err(ConfigError::field(field, format!("{value} is not a positive number")))
+        Err(ConfigError::invalid_field(field, format!("{value} is not a positive number")))
     }
 }
 
@@ -197,19 +198,24 @@
 }
 
 fn check_not_negative(field: &str, value: f64) -> Result<(), ConfigError> {
-    if is_not_negative(value) { Ok(()) } else { Err(ConfigError::field(field, "not a number from 0 on")) }
+    if is_not_negative(value) {
+        Ok(())
+    } else {
+        Err(ConfigError::invalid_field(field, "must be a number of at least 0"))
+    }
 }
 
 fn check_transaction_changes(field: &str, changes: u32) -> Result<(), ConfigError> {
     if changes >= MIN_TRANSACTION_CHANGES {
         Ok(())
     } else {
-        Err(ConfigError::field(field, format!("at least {MIN_TRANSACTION_CHANGES} are needed")))
+        Err(ConfigError::invalid_field(field, format!("must be at least {MIN_TRANSACTION_CHANGES}")))
     }
 }
 
-/// The limits of the teams by name; of several entries for a team, the last one counts.
-fn team_limits(entries: &[TeamEntry]) -> Result<BTreeMap<Name, TeamLimits>, ConfigError> {
+/// Returns the guaranteed resources and quotas of the teams by name. Of several entries for a team, the last one takes
+/// effect.
+fn teams_by_name(entries: &[TeamEntry]) -> Result<BTreeMap<Name, TeamLimits>, ConfigError> {
     let limits = |entry: &TeamEntry| entry.validate().map(|limits| (Name::new(&entry.name), limits));
     entries.iter().map(limits).collect()
 }
@@ -219,22 +225,22 @@
         let fields =
             [("cpus", self.cpus), ("cpus_max", self.cpus_max), ("gpus", self.gpus), ("gpus_max", self.gpus_max)];
         if let Some((field, value)) = fields.into_iter().find(|(_, value)| !is_not_negative(*value)) {
-            let problem = format!("{value} is not a number from 0 on");
-            return Err(ConfigError::field(format!("facts.teams.{field}"), problem));
+            let problem = format!("{value} is not a number of at least 0");
+            return Err(ConfigError::invalid_field(format!("facts.teams.{field}"), problem));
         }
-        let limit = |value: f64| (value > 0.0).then(|| Quantity::new(value));
+        let quota = |value: f64| (value > 0.0).then(|| Quantity::new(value));
         Ok(TeamLimits {
             cpus: Quantity::new(self.cpus),
             gpus: Quantity::new(self.gpus),
-            cpus_max: limit(self.cpus_max),
-            gpus_max: limit(self.gpus_max),
+            cpus_max: quota(self.cpus_max),
+            gpus_max: quota(self.gpus_max),
         })
     }
 }
 
-/// A digest of the teams' limits that does not depend on the order in which they are written.
-fn digest_of_limits(teams: &BTreeMap<Name, TeamLimits>) -> String {
-    let bytes_of = |limit: Option<Quantity>| limit.map_or(u64::MAX, |quantity| quantity.0).to_be_bytes();
+/// Returns a digest of the team quotas that does not depend on the order of the entries in the file.
+fn digest_of_quotas(teams: &BTreeMap<Name, TeamLimits>) -> String {
+    let bytes_of = |quota: Option<Quantity>| quota.map_or(u64::MAX, |quantity| quantity.0).to_be_bytes();
     let mut hasher = Sha256::new();
     for (name, limits) in teams {
         hasher.update((name.as_str().len() as u64).to_be_bytes());
@@ -242,10 +248,10 @@
         hasher.update(bytes_of(limits.cpus_max));
         hasher.update(bytes_of(limits.gpus_max));
     }
-    hasher.finalize().iter().take(LIMITS_DIGEST_BYTES).map(|byte| format!("{byte:02x}")).collect()
+    hasher.finalize().iter().take(QUOTAS_DIGEST_BYTES).map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// The service-level objectives by class.
+/// Service-level objectives by job class.
 #[derive(Default)]
 struct Objectives {
     finish_within: BTreeMap<Name, Vec<Span>>,
@@ -254,7 +260,7 @@
 }
 
 impl Objectives {
-    /// Collects the objectives that name a class; other ones do not concern the scheduler.
+    /// Collects the objectives that name a job class; objectives without a class do not concern the scheduler.
     fn collect(entries: &[ObjectiveEntry]) -> Objectives {
         let mut objectives = Objectives::default();
         for entry in entries {
