--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The command line of a controller.
+//! Command line of a controller.
 
 use clap::Parser;
 use crowstall::config::Settings;
@@ -6,11 +6,11 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// The environment variable that sets which log lines are written.
+/// Environment variable that selects the lowest level of log lines that are written.
 const LOG_LEVEL_VARIABLE: &str = "LOG_LEVEL";
 const DEFAULT_LOG_LEVEL: &str = "info";
-/// The exit code for a configuration that cannot be used.
-const EXIT_CONFIGURATION: u8 = 2;
+/// Exit status for an invalid configuration.
+const EXIT_INVALID_CONFIGURATION: u8 = 2;
 
 /// A controller of the crowstall cluster scheduler.
 #[derive(Parser)]
@@ -31,7 +31,7 @@
         Ok(settings) => settings,
         Err(error) => {
             eprintln!("crowstall: {error}");
-            return ExitCode::from(EXIT_CONFIGURATION);
+            return ExitCode::from(EXIT_INVALID_CONFIGURATION);
         }
     };
     match service::run(settings) {
--- a/src/service.rs
+++ b/src/service.rs
@@ -1,7 +1,7 @@
-//! Connects the transport to the coordination layer: what arrives becomes events of the controller, and the
-//! controller's actions are carried out.
+//! Main loop of a controller: converts network events of the transport to events of the controller's state machine,
+//! and executes the actions that the state machine returns.
 //!
-//! The controller stands behind a lock that is never held while something is sent or awaited.
+//! A lock guards the controller. It is never held during input or output.
 
 use crate::config::Settings;
 use crate::coordination::{Action, ClientRequestId, Clock, Controller, Event, OutboundCallId};
@@ -22,43 +22,44 @@
 use std::time::{Duration, SystemTime};
 use thiserror::Error;
 
+/// Interval between tick events.
 const TICK_INTERVAL: Span = Span::millis(100);
-/// Leases depend on the answers of the state service, so a lost one must be noticed soon.
+/// Timeout of calls to the state service. Lease renewals depend on them, so a lost answer must be noticed soon.
 const STATE_TIMEOUT: Span = Span::millis(1200);
 const CLOUD_TIMEOUT: Span = Span::millis(5000);
 const WORKER_TIMEOUT: Span = Span::millis(2000);
-/// A leader that takes longer than that to answer a probe does not serve its users either.
+/// Timeout of probes. A leader that takes longer to answer does not serve its users either.
 const PROBE_TIMEOUT: Span = Span::millis(450);
-/// How long a peer may be silent before the connection to it is closed and dialled again.
+/// Time without a message from a peer after which the connection to it is closed and dialled again.
 const PEER_SILENCE_TIMEOUT: Span = Span::millis(2500);
-/// The path of a controller's health check.
+/// Path of the health check of a controller, which probes call.
 const HEALTH_PATH: &str = "/up";
 
-/// Why a controller cannot run.
+/// Error that ends a controller.
 #[derive(Debug, Error)]
 pub enum RunError {
-    /// The event loop cannot be set up or has failed.
+    /// Error of the event loop.
     #[error(transparent)]
     EventLoop(#[from] calloop::Error),
-    /// An address of the settings cannot be listened at.
-    #[error("{setting} {addr}: {reason}")]
+    /// Address in the settings at which the controller cannot listen.
+    #[error("cannot listen at {setting} {addr}: {reason}")]
     Listen {
-        /// The name of the setting.
+        /// Name of the setting.
         setting: &'static str,
-        /// The address.
+        /// Address from the setting.
         addr: SocketAddrV4,
-        /// Why it cannot be listened at.
+        /// Error returned by the operating system.
         reason: io::Error,
     },
 }
 
-/// Runs a controller until the process is ended.
+/// Runs a controller until the process is terminated. Returns only if an error occurs.
 pub fn run(settings: Settings) -> Result<(), RunError> {
     let mut event_loop: EventLoop<'static, Transport> = EventLoop::try_new()?;
     let mut transport = Transport::new(event_loop.handle(), settings.max_sockets);
     listen(&mut transport, &settings)?;
     let mut service = Service::new(settings, &mut transport);
-    log::info!("{} listens at {}", service.settings.label, service.settings.front);
+    log::info!("controller {} listens for users and workers at {}", service.settings.label, service.settings.front);
     let mut next_tick = Time::ZERO;
     loop {
         let wait = next_tick.since(transport.clock());
@@ -68,7 +69,7 @@
             next_tick = now + TICK_INTERVAL;
             service.tick(&mut transport);
         }
-        service.handle_arrivals(&mut transport);
+        service.handle_network_events(&mut transport);
     }
 }
 
@@ -79,14 +80,14 @@
     transport.listen_front(front).map_err(error("front", front))
 }
 
-/// Reads both clocks of the process.
+/// Reads the steady clock and the wall clock.
 fn read_clocks(transport: &mut Transport) -> Clock {
     let since_epoch = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
     let wall_clock_ms = since_epoch.map_or(0, |since| since.as_millis() as u64);
     Clock { steady: transport.clock(), wall_clock_ms }
 }
 
-/// A call to another service that has no answer yet.
+/// Call without an answer so far, with the request where it is needed to parse the answer.
 enum PendingCall {
     State(StateCall),
     Cloud(CloudCall),
@@ -95,8 +96,9 @@
 }
 
 impl PendingCall {
-    /// Returns the event for the answer to this call; `response` is none if none came.
-    fn answered(self, call: OutboundCallId, response: Option<Response>) -> Event {
+    /// Returns the event for the answer to this call. `response` is `None` if the call timed out or the connection
+    /// broke.
+    fn into_event(self, call: OutboundCallId, response: Option<Response>) -> Event {
         let received = |response: Option<Response>| response.ok_or(CallError::NoAnswer);
         match self {
             PendingCall::State(request) => {
@@ -118,13 +120,13 @@
     }
 }
 
-/// Where a peer listens and when a message last arrived from it.
+/// Address of a peer and time of its last message.
 struct PeerContact {
     addr: SocketAddrV4,
-    last_heard: Time,
+    last_received_at: Time,
 }
 
-/// A controller and what it needs to reach the rest of the cluster.
+/// Controller, its pending calls and the contacts of its peers.
 struct Service {
     settings: Settings,
     controller: Mutex<Controller>,
@@ -135,7 +137,7 @@
 impl Service {
     fn new(settings: Settings, transport: &mut Transport) -> Service {
         let controller = Controller::new(settings.clone(), rand::random(), read_clocks(transport));
-        let contact = |addr| PeerContact { addr, last_heard: Time::ZERO };
+        let contact = |addr| PeerContact { addr, last_received_at: Time::ZERO };
         Service {
             controller: Mutex::new(controller),
             pending_calls: HashMap::new(),
@@ -144,18 +146,18 @@
         }
     }
 
-    /// Does what is due at regular intervals.
+    /// Expires connections and calls, sends a tick to the controller and redials silent peers.
     fn tick(&mut self, transport: &mut Transport) {
         transport.expire();
-        self.handle_arrivals(transport);
+        self.handle_network_events(transport);
         self.handle_event(transport, Event::Tick);
         self.redial_silent_peers(transport);
     }
 
-    /// Passes everything that has arrived to the controller.
-    fn handle_arrivals(&mut self, transport: &mut Transport) {
-        while let Some(arrival) = transport.next_event() {
-            if let Some(event) = self.event_of(arrival, transport) {
+    /// Passes all received network events to the controller.
+    fn handle_network_events(&mut self, transport: &mut Transport) {
+        while let Some(network_event) = transport.next_event() {
+            if let Some(event) = self.controller_event(network_event, transport) {
                 self.handle_event(transport, event);
             }
         }
@@ -165,17 +167,18 @@
         let clock = read_clocks(transport);
         let actions = self.controller.lock().unwrap_or_else(PoisonError::into_inner).handle(clock, event);
         for action in actions {
-            self.perform(transport, action);
+            self.execute(transport, action);
         }
     }
 
-    /// Returns the event of something that has arrived, if it concerns the controller.
-    fn event_of(&mut self, arrival: NetEvent, transport: &mut Transport) -> Option<Event> {
-        match arrival {
+    /// Converts a network event to an event of the controller. Returns `None` for an answer to an unknown call and for
+    /// an invalid frame.
+    fn controller_event(&mut self, network_event: NetEvent, transport: &mut Transport) -> Option<Event> {
+        match network_event {
             NetEvent::Request { id, request } => Some(client_request_event(id, &request)),
             NetEvent::Answer { call, response } => {
                 let pending = self.pending_calls.remove(&call)?;
-                Some(pending.answered(OutboundCallId(call.0), response))
+                Some(pending.into_event(OutboundCallId(call.0), response))
             }
             NetEvent::Frame(bytes) => self.peer_event(&bytes, transport.clock()),
         }
@@ -183,17 +186,17 @@
 
     fn peer_event(&mut self, frame: &[u8], now: Time) -> Option<Event> {
         let Some(envelope) = peers::decode(frame) else {
-            log::debug!("a frame of {} bytes is no message", frame.len());
+            log::debug!("discarded a frame of {} bytes that is not a valid peer message", frame.len());
             return None;
         };
         if let Some(peer) = self.peers.get_mut(&envelope.from) {
-            peer.last_heard = now;
+            peer.last_received_at = now;
         }
         Some(Event::Peer(envelope))
     }
 
-    /// Carries out an action of the controller.
-    fn perform(&mut self, transport: &mut Transport, action: Action) {
+    /// Executes an action of the controller.
+    fn execute(&mut self, transport: &mut Transport, action: Action) {
         match action {
             Action::Reply { id, reply } => {
                 transport.reply(RequestId(id.0), reply.status, reply.retry_after, reply.body.as_bytes());
@@ -231,11 +234,12 @@
         transport.send_frame(peer.addr, &peers::encode(&envelope));
     }
 
-    /// Dials peers anew from which nothing arrives, since the connection to them may be broken.
+    /// Redials the peers from which no message has arrived for [`PEER_SILENCE_TIMEOUT`], since their connection may be
+    /// broken.
     fn redial_silent_peers(&mut self, transport: &mut Transport) {
         let now = transport.clock();
         for peer in self.peers.values() {
-            if now.since(peer.last_heard) > PEER_SILENCE_TIMEOUT {
+            if now.since(peer.last_received_at) > PEER_SILENCE_TIMEOUT {
                 transport.redial_peer(peer.addr);
             }
         }
--- a/src/transport/http.rs
+++ b/src/transport/http.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 messages: requests of users and workers, and responses of the services.
+//! Parsing and writing of HTTP/1.1 messages.
 
 mod parser;
 mod writer;
@@ -8,76 +8,76 @@
 
 use thiserror::Error;
 
-/// The largest body that is read from a user or a worker.
+/// Maximum size in bytes of the body of a request from a user or a worker.
 pub const MAX_REQUEST_BODY: usize = 64 * 1024;
-/// The largest body that is read from a service: the state service sends pages of 512 KiB. The changes that a watch
-/// has missed may take more; the records are then read again in pages.
+/// Maximum size in bytes of the body of a response from a service. The state service sends pages of 512 KiB. The
+/// changes that a watch has missed may exceed the maximum; the records are then read again in pages.
 pub const MAX_RESPONSE_BODY: usize = 4 * 1024 * 1024;
-/// The largest request line or status line together with its headers.
-const MAX_HEAD: usize = 16 * 1024;
-/// The most headers of a message.
+/// Maximum size in bytes of the head of a message: the request line or status line and the headers.
+const MAX_HEAD_BYTES: usize = 16 * 1024;
+/// Maximum number of headers of a message.
 const MAX_HEADERS: usize = 64;
 
-/// A request that was received.
+/// Received request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
-    /// The method, such as `GET`.
+    /// Method, such as `GET`.
     pub method: String,
-    /// The path with the query.
+    /// Path with the query.
     pub path: String,
-    /// The body; empty if there is none.
+    /// Body; empty if there is none.
     pub body: Vec<u8>,
-    /// Whether the connection is to be closed after the reply.
+    /// `true` if the connection is to be closed after the reply.
     pub close: bool,
 }
 
-/// A response that was received.
+/// Received response.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Response {
-    /// The status code.
+    /// Status code.
     pub status: u16,
-    /// The body; empty if there is none.
+    /// Body; empty if there is none.
     pub body: Vec<u8>,
-    /// Whether the other side closes the connection after this response.
+    /// `true` if the server closes the connection after this response.
     pub close: bool,
 }
 
-/// A request to be sent.
+/// Request to be sent.
 #[derive(Clone, Copy, Debug)]
 pub struct OutgoingRequest<'a> {
-    /// The method, such as `GET`.
+    /// Method, such as `GET`.
     pub method: &'a str,
-    /// The path with the query.
+    /// Path with the query.
     pub path: &'a str,
-    /// The body, if the request has one.
+    /// Body, if the request has one.
     pub body: Option<&'a [u8]>,
 }
 
-/// The result of parsing the bytes that have arrived so far.
+/// Result of parsing the bytes received so far.
 #[derive(Debug, PartialEq)]
 pub enum Parsed<T> {
-    /// The message is not complete yet.
+    /// Valid beginning of a message that is not complete yet.
     Partial,
-    /// A message, and the number of bytes it took.
+    /// Complete message and the number of bytes that it occupies.
     Complete(T, usize),
 }
 
-/// Why bytes cannot be read as a message.
+/// Error for bytes that cannot be parsed as a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ParseError {
-    /// The bytes are not a message.
+    /// Not a valid message.
     #[error("not an HTTP/1.1 message")]
     Malformed,
-    /// The body is larger than is read.
+    /// Body that exceeds the maximum size.
     #[error("the body is too large")]
     BodyTooLarge,
-    /// The headers are larger or more than are read.
+    /// Head that exceeds the maximum size.
     #[error("the headers are too large")]
     HeadTooLarge,
 }
 
 impl ParseError {
-    /// The status of the reply to a request with this error.
+    /// Returns the status code of the reply to a request with this error.
     pub fn status(self) -> u16 {
         match self {
             ParseError::Malformed => 400,
--- a/src/transport/http/parser.rs
+++ b/src/transport/http/parser.rs
@@ -1,13 +1,13 @@
-//! Parsing of requests and responses. Heads are parsed by `httparse`; bodies are read here.
+//! Parsing of requests and responses. `httparse` parses the heads and chunk sizes; the bodies are read here.
 
-use super::{MAX_HEAD, MAX_HEADERS, MAX_REQUEST_BODY, MAX_RESPONSE_BODY, ParseError, Parsed, Request, Response};
+use super::{MAX_HEAD_BYTES, MAX_HEADERS, MAX_REQUEST_BODY, MAX_RESPONSE_BODY, ParseError, Parsed, Request, Response};
 use httparse::{Header, Status};
 
 const LINE_END: &[u8] = b"\r\n";
-/// What `httparse` calls version 1.0 of HTTP, in which connections are closed after each message.
+/// Number by which `httparse` denotes HTTP/1.0, where the connection is closed after each response.
 const VERSION_1_0: u8 = 0;
 
-/// Parses a request at the start of `bytes`.
+/// Parses the request at the start of `bytes`.
 pub fn parse_request(bytes: &[u8]) -> Result<Parsed<Request>, ParseError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
@@ -24,7 +24,7 @@
     Ok(Parsed::Complete(request, end))
 }
 
-/// Parses a response at the start of `bytes`.
+/// Parses the response at the start of `bytes`.
 pub fn parse_response(bytes: &[u8]) -> Result<Parsed<Response>, ParseError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Response::new(&mut headers);
@@ -37,17 +37,17 @@
     Ok(Parsed::Complete(response, end))
 }
 
-/// Returns where the head ends, from the result of parsing it.
+/// Converts the result of `httparse` to the offset at which the head ends.
 fn head_end(parsed: httparse::Result<usize>, bytes: &[u8]) -> Result<Parsed<()>, ParseError> {
     match parsed {
         Ok(Status::Complete(end)) => Ok(Parsed::Complete((), end)),
-        Ok(Status::Partial) if bytes.len() < MAX_HEAD => Ok(Parsed::Partial),
+        Ok(Status::Partial) if bytes.len() < MAX_HEAD_BYTES => Ok(Parsed::Partial),
         Ok(Status::Partial) => Err(ParseError::HeadTooLarge),
         Err(_) => Err(ParseError::Malformed),
     }
 }
 
-/// What the headers say about the body and the connection.
+/// Framing of the body and persistence of the connection, according to the headers.
 #[derive(Default)]
 struct Framing {
     content_length: Option<usize>,
@@ -61,7 +61,7 @@
         for header in headers {
             framing.add(header)?;
         }
-        // A request with both headers could be read in two ways, which is how requests are smuggled past proxies.
+        // A proxy could interpret a request with both headers differently, which permits request smuggling.
         if framing.chunked && framing.content_length.is_some() { Err(ParseError::Malformed) } else { Ok(framing) }
     }
 
@@ -81,7 +81,7 @@
         Ok(())
     }
 
-    /// Takes the length in; the header may be repeated, but not with another length.
+    /// Sets the content length. A repeated header is accepted only if it has the same value.
     fn set_content_length(&mut self, value: &str) -> Result<(), ParseError> {
         if value.is_empty() || !value.bytes().all(|byte| byte.is_ascii_digit()) {
             return Err(ParseError::Malformed);
@@ -94,7 +94,7 @@
     }
 }
 
-/// Parses the body that starts at `start`. The length returned with it counts from the start of `bytes`.
+/// Parses the body that starts at offset `start`. Returns it with the offset at which it ends.
 fn parse_body(bytes: &[u8], start: usize, framing: &Framing, max: usize) -> Result<Parsed<Vec<u8>>, ParseError> {
     if framing.chunked {
         parse_chunked_body(bytes, start, max)
@@ -126,7 +126,7 @@
     }
 }
 
-/// Parses the chunk at the start of `bytes`. An empty chunk is the last one of a body.
+/// Parses the chunk at the start of `bytes`. An empty chunk ends the body.
 fn parse_chunk(bytes: &[u8], max: usize) -> Result<Parsed<&[u8]>, ParseError> {
     let (head, size) = match httparse::parse_chunk_size(bytes) {
         Ok(Status::Complete(parsed)) => parsed,
--- a/src/transport/http/writer.rs
+++ b/src/transport/http/writer.rs
@@ -1,4 +1,4 @@
-//! Writing of requests and responses.
+//! Serialization of requests and responses.
 
 use super::OutgoingRequest;
 use std::fmt::Write;
@@ -14,7 +14,8 @@
     [head.as_bytes(), body].concat()
 }
 
-/// Returns the bytes of a response; `close` announces that the connection is closed after it.
+/// Returns the bytes of a response. `close` adds the header that announces that the connection will be closed,
+/// `retry_after` is in seconds.
 pub fn write_response(status: u16, retry_after: Option<u32>, close: bool, body: &[u8]) -> Vec<u8> {
     let mut head = format!(
         "HTTP/1.1 {status} {}\r\nContent-Type: application/json\r\nContent-Length: {}\r\n",
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -1,5 +1,5 @@
-//! Sockets on a `calloop` event loop: the HTTP server for users and workers, HTTP clients with pooled connections
-//! to the services, and framed connections between controllers. Knows nothing of scheduling.
+//! Network input and output on a `calloop` event loop: the HTTP server for users and workers, HTTP clients with pooled
+//! connections to the services, and framed connections between controllers. Independent of scheduling.
 
 pub mod http;
 mod reactor;
--- a/src/transport/reactor.rs
+++ b/src/transport/reactor.rs
@@ -1,8 +1,8 @@
 //! All connections of the process, driven by the event loop.
 //!
-//! [`Transport`] owns the connections. What arrives is put into an inbox of [`NetEvent`]s; what is to be sent is
-//! written at once as far as the socket takes it, and the rest when the socket becomes writable. The submodules
-//! extend [`Transport`] by one kind of connection each.
+//! [`Transport`] owns the connections. Received messages are put into an inbox of [`NetEvent`]s. Output is written at
+//! once as far as the socket accepts it, and the rest when the socket becomes writable. The submodules extend
+//! [`Transport`] by the listening sockets and by one kind of connection each.
 
 mod connection;
 mod front;
@@ -25,61 +25,62 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// The largest frame between controllers.
+/// Maximum size in bytes of a frame between controllers.
 pub const MAX_FRAME: usize = 1024 * 1024;
-/// The most bytes that may wait for a peer that does not read them; then its connection is closed and dialled again. A
-/// peer that pauses for a second must not lose the heartbeats of a whole fleet that are relayed to it.
-const MAX_PEER_BACKLOG: usize = 8 * 1024 * 1024;
-/// The most connections to one service.
-const MAX_PER_TARGET: usize = 8;
-/// How many connections may wait to be accepted: all workers look for a new leader at once. The system may allow less
-/// (`net.core.somaxconn`).
+/// Maximum number of unsent bytes for a peer that does not read them; beyond it, the connection is closed and dialled
+/// again. Large enough for the relayed worker heartbeats of a whole fleet while the peer pauses for a second.
+const MAX_PEER_BACKLOG_BYTES: usize = 8 * 1024 * 1024;
+/// Maximum number of connections to the same service or worker.
+const MAX_CONNECTIONS_PER_TARGET: usize = 8;
+/// Maximum number of connections that wait to be accepted. Large, since all workers look for a new leader at the same
+/// time. The system may allow fewer (`net.core.somaxconn`).
 const LISTEN_BACKLOG: i32 = 16_384;
-/// How many connections are accepted in a turn of the event loop, so that open connections get their turn too.
-const MAX_ACCEPTED_PER_TURN: usize = 64;
-/// How long a connection of a user, worker or peer may be idle.
+/// Maximum number of connections accepted in an iteration of the event loop, so that open connections are not starved.
+const MAX_ACCEPTED_PER_ITERATION: usize = 64;
+/// Time after which an idle connection from a user, worker or peer is closed.
 const IDLE_TIMEOUT: Span = Span::millis(75_000);
-/// How long a request may take to arrive.
+/// Time within which a request must arrive completely, counted from its first bytes.
 const SLOW_REQUEST_TIMEOUT: Span = Span::millis(10_000);
-/// How long a front connection must have been idle before it may be closed in favour of a new one.
+/// Time for which a client connection must have been idle before it may be closed in favour of a new one.
 const MIN_IDLE_BEFORE_EVICTION: Span = Span::millis(6_000);
-/// How long an unused connection to a service is kept; after that the service may have closed its side.
+/// Time for which an idle connection to a service is kept. After that, the service may have closed its side.
 const POOLED_TIMEOUT: Span = Span::millis(20_000);
-/// The shortest time between two attempts to connect to a peer.
+/// Minimum time between two attempts to connect to a peer.
 const PEER_REDIAL_INTERVAL: Span = Span::millis(400);
-/// How long a connection to a peer may make no progress before it is closed.
-const PEER_SILENCE_TIMEOUT: Span = Span::millis(3_000);
-/// How many bytes are read from a socket at a time.
+/// Time for which pending output to a peer may make no progress before the connection is closed, and minimum age of a
+/// connection that is closed because the peer is silent.
+const PEER_STALL_TIMEOUT: Span = Span::millis(3_000);
+/// Size of the buffer for reading from sockets.
 const READ_BUFFER_BYTES: usize = 16 * 1024;
-/// What `connect` returns on Linux for a connection that is being established.
+/// Error number that `connect` returns on Linux for a connection that is being established.
 const EINPROGRESS: i32 = 115;
 
-/// A request that was received and waits for its reply.
+/// Id of a received request that waits for its reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RequestId(pub u64);
 
-/// A request that was sent to another service.
+/// Id of a call to a service, a worker or the health check of another controller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct CallId(pub u64);
 
-/// What has arrived.
+/// Network event for the owner of the transport.
 #[derive(Debug)]
 pub enum NetEvent {
-    /// A request of a user or a worker.
+    /// Request of a user or a worker.
     Request {
-        /// The number to answer with in [`Transport::reply`].
+        /// Id to pass to [`Transport::reply`].
         id: RequestId,
-        /// The request.
+        /// Received request.
         request: Request,
     },
-    /// The answer to a call; none if none came in time or the connection broke.
+    /// End of a call.
     Answer {
-        /// The number of the call.
+        /// Id of the call.
         call: CallId,
-        /// The response.
+        /// Response; `None` if the call timed out or the connection broke.
         response: Option<Response>,
     },
-    /// A frame from another controller.
+    /// Frame from another controller.
     Frame(Vec<u8>),
 }
 
@@ -98,7 +99,7 @@
 }
 
 impl Transport {
-    /// Returns a transport without connections that keeps to `max_sockets`.
+    /// Returns a transport without connections, whose limits on connections are derived from `max_sockets`.
     pub fn new(handle: LoopHandle<'static, Transport>, max_sockets: usize) -> Transport {
         Transport {
             handle,
@@ -114,18 +115,18 @@
         }
     }
 
-    /// Reads the steady clock.
+    /// Reads the steady clock and updates `now`, the time that all other methods use.
     pub fn clock(&mut self) -> Time {
         self.now = Time(self.started.elapsed().as_micros() as u64);
         self.now
     }
 
-    /// Takes the oldest event out of the inbox.
+    /// Removes the oldest event from the inbox and returns it.
     pub fn next_event(&mut self) -> Option<NetEvent> {
         self.inbox.pop_front()
     }
 
-    /// Ends calls and closes connections that have taken too long. To be called several times a second.
+    /// Ends calls that have timed out and closes stale connections. Must be called several times a second.
     pub fn expire(&mut self) {
         self.expire_calls();
         self.close_stale_connections();
@@ -140,7 +141,7 @@
         }
     }
 
-    /// Starts to connect to `target`.
+    /// Starts to connect to `target`. Returns `None` if that fails at once.
     fn dial(&mut self, target: SocketAddrV4, kind: ConnectionKind) -> Option<ConnectionId> {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, Some(Protocol::TCP)).ok()?;
         socket.set_nonblocking(true).ok()?;
@@ -152,7 +153,7 @@
         self.register(socket.into(), kind)
     }
 
-    /// Adds a connection and has the event loop watch its socket.
+    /// Adds a connection and registers its socket with the event loop.
     fn register(&mut self, stream: TcpStream, kind: ConnectionKind) -> Option<ConnectionId> {
         stream.set_nonblocking(true).ok()?;
         let _ = stream.set_nodelay(true);
@@ -179,7 +180,7 @@
         self.flush(id);
     }
 
-    /// Reads what has arrived at a connection and takes whole messages out of it.
+    /// Reads the bytes that a connection has received and processes the complete messages among them.
     fn read(&mut self, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         let outcome = connection.read_available(&mut self.read_buffer, self.now);
@@ -189,7 +190,7 @@
         }
     }
 
-    /// Takes whole messages out of the bytes that a connection has received so far.
+    /// Processes the complete messages in the input buffer of a connection.
     fn take_messages(&mut self, id: ConnectionId) {
         let Some(connection) = self.connections.get(&id) else { return };
         if connection.input.is_empty() {
@@ -202,7 +203,7 @@
         }
     }
 
-    /// Writes what is to be sent as far as the socket takes it.
+    /// Writes pending output as far as the socket accepts it.
     fn flush(&mut self, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         match connection.write_pending(self.now) {
@@ -213,7 +214,7 @@
         }
     }
 
-    /// Closes a connection and ends what depended on it.
+    /// Closes a connection and ends the request or call that depends on it.
     fn close(&mut self, id: ConnectionId) {
         let Some(connection) = self.connections.remove(&id) else { return };
         match connection.into_kind() {
@@ -225,7 +226,7 @@
     }
 }
 
-/// Whether `connect` reports that the connection is being established.
+/// Returns `true` if `error`, returned by `connect`, means that the connection is being established.
 fn is_in_progress(error: &io::Error) -> bool {
     error.kind() == ErrorKind::WouldBlock || error.raw_os_error() == Some(EINPROGRESS)
 }
--- a/src/transport/reactor/connection.rs
+++ b/src/transport/reactor/connection.rs
@@ -1,7 +1,7 @@
-//! A single connection: its socket, its buffers and what it is used for.
+//! Socket, buffers and kind of a single connection.
 
 use super::front::FrontState;
-use super::{CallId, IDLE_TIMEOUT, PEER_SILENCE_TIMEOUT, POOLED_TIMEOUT, SLOW_REQUEST_TIMEOUT, Transport};
+use super::{CallId, IDLE_TIMEOUT, PEER_STALL_TIMEOUT, POOLED_TIMEOUT, SLOW_REQUEST_TIMEOUT, Transport};
 use crate::time::Time;
 use calloop::{LoopHandle, RegistrationToken};
 use std::collections::VecDeque;
@@ -9,10 +9,10 @@
 use std::net::{SocketAddrV4, TcpStream};
 use std::sync::Arc;
 
-/// The capacity that an empty output buffer keeps.
+/// Capacity in bytes that an empty output buffer keeps.
 const KEPT_OUTPUT_CAPACITY: usize = 4096;
 
-/// Identifies a connection; never used again after the connection is closed.
+/// Id of a connection, which is not reused after the connection is closed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct ConnectionId(u64);
 
@@ -22,19 +22,20 @@
     }
 }
 
-/// What a connection is used for.
+/// Kind of a connection, with the state that depends on it.
 pub(super) enum ConnectionKind {
-    /// A user or worker connected to this controller.
+    /// Connection from a user or worker.
     Front(FrontState),
-    /// This controller connected to a service; the call that waits for its response there, if any.
+    /// Connection to a service, a worker or the health check of another controller. `call` is the call that waits for
+    /// its response, if any.
     Service { target: SocketAddrV4, call: Option<CallId> },
-    /// Another controller connected to this one.
+    /// Connection that another controller has opened to this one.
     PeerIncoming,
-    /// This controller connected to another one.
+    /// Connection that this controller has opened to another one.
     PeerOutgoing { target: SocketAddrV4 },
 }
 
-/// The event loop's watch on a socket; ends when it is dropped.
+/// Registration of a socket with the event loop, which is removed when the value is dropped.
 pub(super) struct Registration {
     handle: LoopHandle<'static, Transport>,
     token: RegistrationToken,
@@ -52,34 +53,36 @@
     }
 }
 
-/// Whether more can be read from a connection later.
+/// Result of reading from a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ReadOutcome {
+    /// More bytes may arrive later.
     Open,
+    /// The connection has been closed by the other side or is broken.
     Ended,
 }
 
-/// How far the output of a connection was written.
+/// Result of writing the output of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum WriteOutcome {
-    /// Nothing is left to be written.
+    /// Everything has been written.
     Finished,
-    /// The socket takes no more at the moment.
+    /// The send buffer of the socket is full.
     Blocked,
     /// The connection is broken.
     Failed,
 }
 
-/// An open connection.
+/// Open connection.
 pub(super) struct Connection {
     stream: Arc<TcpStream>,
     registration: Registration,
-    /// Received bytes that are not part of a whole message yet.
+    /// Received bytes that have not been processed yet.
     pub input: Vec<u8>,
-    /// Bytes that are still to be sent.
+    /// Bytes that have not been written yet.
     pub output: VecDeque<u8>,
     pub kind: ConnectionKind,
-    /// When bytes were last sent or received.
+    /// Time at which bytes were last sent or received.
     pub last_active: Time,
 }
 
@@ -88,13 +91,13 @@
         Connection { stream, registration, input: Vec::new(), output: VecDeque::new(), kind, last_active: now }
     }
 
-    /// Closes the connection and returns what it was used for.
+    /// Closes the connection and returns its kind.
     pub fn into_kind(self) -> ConnectionKind {
         drop(self.registration);
         self.kind
     }
 
-    /// Reads all bytes that have arrived.
+    /// Reads all bytes that have arrived and appends them to the input.
     pub fn read_available(&mut self, buffer: &mut [u8], now: Time) -> ReadOutcome {
         loop {
             match (&*self.stream).read(buffer) {
@@ -115,7 +118,7 @@
         }
     }
 
-    /// Writes as much of the output as the socket takes.
+    /// Writes as much of the output as the socket accepts.
     pub fn write_pending(&mut self, now: Time) -> WriteOutcome {
         while !self.output.is_empty() {
             let (first, _) = self.output.as_slices();
@@ -136,7 +139,7 @@
         WriteOutcome::Finished
     }
 
-    /// Removes the first `count` bytes of the input and frees its memory if nothing is left.
+    /// Removes the first `count` bytes of the input and frees its memory if none are left.
     pub fn discard_input(&mut self, count: usize) {
         self.input.drain(..count);
         if self.input.is_empty() {
@@ -144,12 +147,12 @@
         }
     }
 
-    /// Whether the connection is to be closed once its output is written.
+    /// Returns `true` if the connection is to be closed once its output is written.
     pub fn closes_once_written(&self) -> bool {
         matches!(&self.kind, ConnectionKind::Front(front) if front.waiting.is_none() && front.close)
     }
 
-    /// Whether the connection has been idle, or a message on its way, for too long.
+    /// Returns `true` if the connection has been idle for too long, or a message takes too long to be transferred.
     pub fn is_stale(&self, now: Time) -> bool {
         let idle = now.since(self.last_active);
         match &self.kind {
@@ -159,8 +162,8 @@
             ConnectionKind::Front(front) => front.waiting.is_none() && idle > IDLE_TIMEOUT,
             ConnectionKind::Service { call, .. } => call.is_none() && idle > POOLED_TIMEOUT,
             ConnectionKind::PeerIncoming => idle > IDLE_TIMEOUT,
-            // Heartbeats are sent several times a second: bytes that are not taken mean a broken network.
-            ConnectionKind::PeerOutgoing { .. } => !self.output.is_empty() && idle > PEER_SILENCE_TIMEOUT,
+            // Heartbeats are sent several times a second, so output that makes no progress indicates a broken network.
+            ConnectionKind::PeerOutgoing { .. } => !self.output.is_empty() && idle > PEER_STALL_TIMEOUT,
         }
     }
 }
--- a/src/transport/reactor/front.rs
+++ b/src/transport/reactor/front.rs
@@ -1,4 +1,4 @@
-//! Connections of users and workers: they send requests and get a reply to each.
+//! HTTP server connections: requests of clients, that is, users and workers, and the replies to them.
 
 use super::connection::{ConnectionId, ConnectionKind};
 use super::{MIN_IDLE_BEFORE_EVICTION, NetEvent, RequestId, Transport};
@@ -9,19 +9,21 @@
 use std::net::TcpStream;
 use std::rc::Rc;
 
-/// One socket in four, and eight more, are kept for the services, the other controllers and the calls to workers.
+/// One socket in four, and [`RESERVED_SOCKETS`] more, are reserved for connections to the services, to the other
+/// controllers and to workers.
 const RESERVED_SOCKETS_DIVISOR: usize = 4;
+/// Number of sockets reserved in addition to the reserved fraction.
 const RESERVED_SOCKETS: usize = 8;
-/// The most bytes that a client may send while its previous request waits for the reply.
+/// Maximum number of bytes that a client may send while its previous request waits for the reply.
 const MAX_PIPELINED_BYTES: usize = 2 * http::MAX_REQUEST_BODY;
-/// The body of a reply to a request that cannot be read.
+/// Body of the reply to a request that cannot be parsed.
 const EMPTY_BODY: &[u8] = b"{}";
 
-/// All front connections.
+/// All client connections and the requests that wait for a reply.
 pub(super) struct FrontConnections {
     slots: FrontSlots,
     last_request: RequestId,
-    /// The connections of the requests that wait for a reply.
+    /// Connections of the requests that wait for a reply.
     requests: HashMap<RequestId, ConnectionId>,
 }
 
@@ -35,7 +37,7 @@
         }
     }
 
-    /// Registers a request of a connection under a new number.
+    /// Assigns a new id to a request of a connection.
     fn add_request(&mut self, connection: ConnectionId) -> RequestId {
         self.last_request = RequestId(self.last_request.0 + 1);
         self.requests.insert(self.last_request, connection);
@@ -43,16 +45,16 @@
     }
 }
 
-/// Counts the front connections against their limit.
+/// Counter of the client connections and its limit.
 struct FrontSlots {
     used: Rc<Cell<usize>>,
     limit: usize,
 }
 
 impl FrontSlots {
-    /// Whether so many slots are used that connections are closed after each reply, so that more clients than there
-    /// are sockets get their turn.
-    fn is_crowded(&self) -> bool {
+    /// Returns `true` if more than three quarters of the slots are in use. Connections are then closed after each
+    /// reply, so that more clients than there are sockets can be served in turn.
+    fn is_nearly_exhausted(&self) -> bool {
         self.used.get() > self.limit / 4 * 3
     }
 
@@ -69,7 +71,7 @@
     }
 }
 
-/// The place that a front connection takes; free again when it is dropped.
+/// Slot of a client connection, which is released when the value is dropped.
 struct FrontSlot {
     used: Rc<Cell<usize>>,
 }
@@ -80,19 +82,20 @@
     }
 }
 
-/// The state of a front connection.
+/// State of a client connection.
 pub(super) struct FrontState {
-    /// The request that waits for its reply.
+    /// Request that waits for its reply, if any.
     pub waiting: Option<RequestId>,
-    /// Whether the connection is closed after the reply.
+    /// `true` if the connection is to be closed after the current or next reply.
     pub close: bool,
-    /// When the first bytes of a request arrived that is not complete yet.
+    /// Time at which the first bytes of an incomplete request arrived.
     pub request_started: Option<Time>,
     _slot: FrontSlot,
 }
 
 impl Transport {
-    /// Adds a front connection. If there are too many, an idle one is closed in its favour, or else the new one.
+    /// Adds a client connection. If the limit is reached, the connection that has been idle for longest is closed in
+    /// its favour; if none has been idle for long enough, the new one is closed.
     pub(super) fn front_accepted(&mut self, stream: TcpStream) {
         if self.front.slots.is_exhausted() {
             self.close_longest_idle_front();
@@ -114,13 +117,13 @@
         }
     }
 
-    /// Takes the next request out of the input of a front connection.
+    /// Parses the next request in the input of a client connection and removes it from there.
     pub(super) fn take_request(&mut self, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         let ConnectionKind::Front(front) = &mut connection.kind else { return };
         if front.waiting.is_some() || front.close {
-            // The next request is read after the reply to this one. Clients of the platform do not send much more
-            // meanwhile; the input of others must not grow without limit.
+            // The next request is parsed after the reply to this one. Well-behaved clients send little in the meantime;
+            // the input buffers of other clients must not grow without bound.
             if connection.input.len() > MAX_PIPELINED_BYTES {
                 self.close(id);
             }
@@ -142,7 +145,8 @@
         }
     }
 
-    /// Replies to what is no request. What follows on the connection cannot be trusted, so it is closed.
+    /// Replies to bytes that are not a valid request and closes the connection, since the start of a next request
+    /// cannot be determined.
     fn refuse_request(&mut self, id: ConnectionId, error: ParseError) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         let ConnectionKind::Front(front) = &mut connection.kind else { return };
@@ -152,19 +156,19 @@
         self.flush(id);
     }
 
-    /// Replies to a request; nothing happens if its client has closed the connection.
+    /// Replies to a request. Does nothing if the connection of the request has been closed.
     pub fn reply(&mut self, id: RequestId, status: u16, retry_after: Option<u32>, body: &[u8]) {
         let Some(connection_id) = self.front.requests.remove(&id) else { return };
         let Some(connection) = self.connections.get_mut(&connection_id) else { return };
         let ConnectionKind::Front(front) = &mut connection.kind else { return };
         front.waiting = None;
-        front.close |= self.front.slots.is_crowded();
+        front.close |= self.front.slots.is_nearly_exhausted();
         connection.output.extend(http::write_response(status, retry_after, front.close, body));
         self.flush(connection_id);
         self.take_messages(connection_id);
     }
 
-    /// Forgets the request that waited on a closed connection.
+    /// Removes the request that waited for a reply on a closed connection.
     pub(super) fn front_closed(&mut self, front: &FrontState) {
         if let Some(request) = front.waiting {
             self.front.requests.remove(&request);
--- a/src/transport/reactor/listener.rs
+++ b/src/transport/reactor/listener.rs
@@ -1,19 +1,19 @@
-//! Listening sockets and the acceptance of connections.
+//! Listening sockets.
 
 use super::connection::ConnectionKind;
-use super::{LISTEN_BACKLOG, MAX_ACCEPTED_PER_TURN, Transport};
+use super::{LISTEN_BACKLOG, MAX_ACCEPTED_PER_ITERATION, Transport};
 use calloop::generic::Generic;
 use calloop::{Interest, Mode, PostAction};
 use socket2::{Domain, Protocol, Socket, Type};
 use std::io::{self, ErrorKind};
 use std::net::{SocketAddr, SocketAddrV4, TcpListener, TcpStream};
 
-/// Who connects to a listening socket.
+/// Kind of the connections that a listening socket accepts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ListenerKind {
-    /// Users and workers.
+    /// Connections from users and workers.
     Front,
-    /// Other controllers.
+    /// Connections from other controllers.
     Peers,
 }
 
@@ -40,18 +40,18 @@
         Ok(())
     }
 
-    /// Accepts connections that wait, up to the limit of a turn.
+    /// Accepts waiting connections, at most [`MAX_ACCEPTED_PER_ITERATION`].
     fn accept_waiting(&mut self, listener: &TcpListener, kind: ListenerKind) {
-        for _ in 0..MAX_ACCEPTED_PER_TURN {
+        for _ in 0..MAX_ACCEPTED_PER_ITERATION {
             match listener.accept() {
-                Ok((stream, _)) => self.accepted(stream, kind),
+                Ok((stream, _)) => self.add_accepted(stream, kind),
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(_) => break,
             }
         }
     }
 
-    fn accepted(&mut self, stream: TcpStream, kind: ListenerKind) {
+    fn add_accepted(&mut self, stream: TcpStream, kind: ListenerKind) {
         match kind {
             ListenerKind::Front => self.front_accepted(stream),
             ListenerKind::Peers => {
@@ -61,7 +61,7 @@
     }
 }
 
-/// Returns a listening socket at `addr`.
+/// Returns a non-blocking socket that listens at `addr`.
 fn bind(addr: SocketAddrV4) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, Some(Protocol::TCP))?;
     let _ = socket.set_reuse_address(true);
--- a/src/transport/reactor/outgoing_calls.rs
+++ b/src/transport/reactor/outgoing_calls.rs
@@ -1,47 +1,49 @@
-//! Calls to the services and to workers, over a pool of connections for each target.
+//! Calls to the services, to workers and to the health checks of other controllers, over a pool of connections for each
+//! target.
 
 use super::connection::{Connection, ConnectionId, ConnectionKind};
-use super::{CallId, MAX_PER_TARGET, NetEvent, POOLED_TIMEOUT, Transport};
+use super::{CallId, MAX_CONNECTIONS_PER_TARGET, NetEvent, POOLED_TIMEOUT, Transport};
 use crate::time::{Span, Time};
 use crate::transport::http::{self, OutgoingRequest, ParseError, Parsed, Response};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::net::SocketAddrV4;
 
-/// One socket in four may be used for connections to services and workers before unused ones are closed.
+/// One socket in four may be used for calls before unused connections are closed.
 const SOCKETS_PER_SERVICE_CONNECTION: usize = 4;
-/// The status that stands for a response with a body that is too large to be read.
+/// Status that is reported to the caller for a response with a body that exceeds the maximum size.
 const PAYLOAD_TOO_LARGE: u16 = 413;
 
-/// All calls without an answer so far, and the connections for them.
+/// All calls without an answer so far, and the connection pools for them.
 pub(super) struct OutgoingCalls {
     calls: BTreeMap<CallId, OutgoingCall>,
     pools: HashMap<SocketAddrV4, ConnectionPool>,
-    /// How many connections there may be before unused ones are closed.
+    /// Number of connections above which unused ones are closed.
     max_connections: usize,
 }
 
-/// A call that has no answer yet.
+/// Call without an answer so far.
 struct OutgoingCall {
     deadline: Time,
     target: SocketAddrV4,
-    /// The request, until it is handed to a connection.
+    /// Serialized request; empty after it has been moved to the output of a connection.
     bytes: Vec<u8>,
-    /// The connection on which the request was sent.
+    /// Connection on which the request was sent; `None` while the call is queued.
     connection: Option<ConnectionId>,
 }
 
-/// The connections to one target and the calls that wait for one.
+/// Connections to one target and the queue of calls that wait for a connection.
 #[derive(Default)]
 struct ConnectionPool {
-    /// Open connections without a call; the one used last comes last.
+    /// Open connections without a call; the one used most recently is last.
     idle: Vec<ConnectionId>,
-    /// The number of open connections, idle or not.
+    /// Number of open connections, idle or not.
     open: usize,
     queue: VecDeque<CallId>,
 }
 
-/// What a pool has for the next call.
+/// Result of requesting a connection from a pool.
 enum PoolConnection {
+    /// Connection without a call.
     Ready(ConnectionId),
     /// All connections are in use and no further one is allowed.
     Exhausted,
@@ -59,7 +61,7 @@
         self.pools.entry(target).or_default()
     }
 
-    /// The first call in the queue of a target, without those that were answered or expired while they waited.
+    /// Returns the first call in the queue of a target, after removing calls that have ended while they were queued.
     fn next_queued(&mut self, target: SocketAddrV4) -> Option<CallId> {
         let pool = self.pools.get_mut(&target)?;
         while pool.queue.front().is_some_and(|call| !self.calls.contains_key(call)) {
@@ -76,7 +78,7 @@
 }
 
 impl Transport {
-    /// Sends a request; exactly one answer event follows.
+    /// Sends a request. Exactly one [`NetEvent::Answer`] follows.
     pub fn call(&mut self, call: CallId, target: SocketAddrV4, request: &OutgoingRequest<'_>, timeout: Span) {
         let bytes = http::write_request(request, &target.to_string());
         let deadline = self.now + timeout;
@@ -85,7 +87,7 @@
         self.start_queued_calls(target);
     }
 
-    /// Sends queued calls for as long as there are connections for them.
+    /// Sends queued calls as long as connections are available for them.
     fn start_queued_calls(&mut self, target: SocketAddrV4) {
         while let Some(call) = self.outgoing.next_queued(target) {
             match self.pooled_connection(target) {
@@ -103,7 +105,7 @@
         self.outgoing.remove_pool_if_unused(target);
     }
 
-    /// Returns an idle connection to a target or opens another one.
+    /// Returns an idle connection to a target or opens a new one.
     fn pooled_connection(&mut self, target: SocketAddrV4) -> PoolConnection {
         while let Some(id) = self.outgoing.pool(target).idle.pop() {
             if self.is_reusable(id) {
@@ -111,7 +113,7 @@
             }
             self.discard_pooled(id, target);
         }
-        if self.outgoing.pool(target).open >= MAX_PER_TARGET {
+        if self.outgoing.pool(target).open >= MAX_CONNECTIONS_PER_TARGET {
             return PoolConnection::Exhausted;
         }
         match self.dial(target, ConnectionKind::Service { target, call: None }) {
@@ -128,7 +130,7 @@
         connection.is_some_and(|connection| self.now.since(connection.last_active) < POOLED_TIMEOUT)
     }
 
-    /// Closes an unused connection, without starting the next queued call.
+    /// Closes an idle connection without starting the next queued call.
     fn discard_pooled(&mut self, id: ConnectionId, target: SocketAddrV4) {
         if self.connections.remove(&id).is_some() {
             self.outgoing.pool(target).open -= 1;
@@ -145,14 +147,14 @@
         self.flush(id);
     }
 
-    /// Ends a call with an answer, or without one; nothing happens if the call has ended already.
+    /// Ends a call with a response, or with `None` if there is none. Does nothing if the call has already ended.
     fn answer_call(&mut self, call: CallId, response: Option<Response>) {
         if self.outgoing.calls.remove(&call).is_some() {
             self.inbox.push_back(NetEvent::Answer { call, response });
         }
     }
 
-    /// Takes a response out of the input of a connection to a service.
+    /// Parses the response in the input of a service connection and ends its call.
     pub(super) fn take_response(&mut self, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         let ConnectionKind::Service { target, call } = &mut connection.kind else { return };
@@ -169,7 +171,7 @@
                 if reusable { self.return_to_pool(id, target) } else { self.close(id) }
             }
             Err(ParseError::BodyTooLarge) => {
-                // A repeated call would get the same body, so the caller is told.
+                // A retry would get the same body, so the error is reported to the caller.
                 let response = Response { status: PAYLOAD_TOO_LARGE, body: Vec::new(), close: true };
                 if let Some(call) = call.take() {
                     self.answer_call(call, Some(response));
@@ -186,8 +188,8 @@
         self.close_excess_connection();
     }
 
-    /// Closes the connection that has been unused for longest if there are too many. Otherwise every worker that was
-    /// called directly would occupy a socket until its connection expires.
+    /// Closes the service connection that has been unused for longest if there are too many. Otherwise every worker
+    /// that was called directly would occupy a socket until its connection expires.
     fn close_excess_connection(&mut self) {
         let is_service = |connection: &Connection| matches!(connection.kind, ConnectionKind::Service { .. });
         let count = self.connections.values().filter(|connection| is_service(connection)).count();
@@ -201,7 +203,7 @@
         }
     }
 
-    /// Ends the call of a closed connection and starts the next one on another connection.
+    /// Ends the call of a closed connection and sends queued calls on other connections.
     pub(super) fn service_closed(&mut self, id: ConnectionId, target: SocketAddrV4, call: Option<CallId>) {
         let pool = self.outgoing.pool(target);
         pool.open -= 1;
@@ -215,9 +217,9 @@
     /// Ends the calls whose deadline has passed.
     pub(super) fn expire_calls(&mut self) {
         let now = self.now;
-        let is_late = |(id, call): (&CallId, &OutgoingCall)| (call.deadline <= now).then_some(*id);
-        let late: Vec<CallId> = self.outgoing.calls.iter().filter_map(is_late).collect();
-        for id in late {
+        let is_expired = |(id, call): (&CallId, &OutgoingCall)| (call.deadline <= now).then_some(*id);
+        let expired: Vec<CallId> = self.outgoing.calls.iter().filter_map(is_expired).collect();
+        for id in expired {
             self.expire_call(id);
         }
     }
@@ -225,7 +227,7 @@
     fn expire_call(&mut self, id: CallId) {
         let Some(call) = self.outgoing.calls.remove(&id) else { return };
         self.inbox.push_back(NetEvent::Answer { call: id, response: None });
-        // The idle connections to the target may be dead as well, so they are not used for the next request.
+        // The idle connections to the target may be broken as well, so they are closed instead of being reused.
         let idle = std::mem::take(&mut self.outgoing.pool(call.target).idle);
         for connection in idle.into_iter().chain(call.connection) {
             self.close(connection);
--- a/src/transport/reactor/peer_links.rs
+++ b/src/transport/reactor/peer_links.rs
@@ -1,30 +1,31 @@
-//! Connections between controllers. They carry frames: a length of four bytes, big-endian, and as many bytes.
+//! Connections between controllers. A frame consists of the length of its payload as a 4-byte big-endian integer,
+//! followed by the payload.
 
 use super::connection::{ConnectionId, ConnectionKind};
-use super::{MAX_FRAME, MAX_PEER_BACKLOG, NetEvent, PEER_REDIAL_INTERVAL, PEER_SILENCE_TIMEOUT, Transport};
+use super::{MAX_FRAME, MAX_PEER_BACKLOG_BYTES, NetEvent, PEER_REDIAL_INTERVAL, PEER_STALL_TIMEOUT, Transport};
 use crate::time::Time;
 use std::net::SocketAddrV4;
 use thiserror::Error;
 
-/// The connection to a peer that was dialled.
+/// State of the outgoing connection to a peer.
 pub(super) struct PeerLink {
     connection: Option<ConnectionId>,
-    /// When the connection was dialled, or closed if there is none.
+    /// Time at which the connection was dialled, or at which it was closed if there is none.
     changed_at: Time,
 }
 
-/// A frame exceeds [`MAX_FRAME`].
+/// Error for a frame that exceeds [`MAX_FRAME`].
 #[derive(Debug, Error)]
 #[error("the frame is too large")]
 struct FrameTooLarge;
 
-/// A frame and the bytes that follow it.
+/// Payload of a frame and the bytes that follow it.
 struct SplitFrame<'a> {
     frame: &'a [u8],
     rest: &'a [u8],
 }
 
-/// Splits off the frame at the start of `bytes`; none if the frame is not complete yet.
+/// Splits off the frame at the start of `bytes`. Returns `None` if the frame is not complete yet.
 fn split_frame(bytes: &[u8]) -> Result<Option<SplitFrame<'_>>, FrameTooLarge> {
     let Some((header, rest)) = bytes.split_first_chunk() else { return Ok(None) };
     let length = u32::from_be_bytes(*header) as usize;
@@ -35,11 +36,11 @@
 }
 
 impl Transport {
-    /// Sends a frame to another controller and connects to it if necessary. The frame may get lost.
+    /// Sends a frame to another controller, connecting to it if necessary. Delivery is not guaranteed.
     pub fn send_frame(&mut self, target: SocketAddrV4, frame: &[u8]) {
         let Some(id) = self.peer_connection(target) else { return };
         let Some(connection) = self.connections.get_mut(&id) else { return };
-        if connection.output.len() > MAX_PEER_BACKLOG {
+        if connection.output.len() > MAX_PEER_BACKLOG_BYTES {
             self.close(id);
             return;
         }
@@ -48,7 +49,8 @@
         self.flush(id);
     }
 
-    /// Returns the connection to a peer, or dials if the last attempt is long enough ago.
+    /// Returns the connection to a peer. If there is none, dials the peer, unless the last attempt or the end of the
+    /// last connection is less than [`PEER_REDIAL_INTERVAL`] ago.
     fn peer_connection(&mut self, target: SocketAddrV4) -> Option<ConnectionId> {
         if let Some(link) = self.peers.get(&target) {
             if link.connection.is_some() {
@@ -63,7 +65,7 @@
         connection
     }
 
-    /// Takes whole frames out of the input of a connection to or from a peer.
+    /// Removes the complete frames from the input of a peer connection and adds them to the inbox.
     pub(super) fn take_frames(&mut self, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         let mut rest = connection.input.as_slice();
@@ -80,19 +82,20 @@
                 }
             }
         }
-        let used = connection.input.len() - rest.len();
-        connection.discard_input(used);
+        let consumed = connection.input.len() - rest.len();
+        connection.discard_input(consumed);
     }
 
-    /// Notes that there is no connection to a peer any more.
+    /// Records that the outgoing connection to a peer has been closed.
     pub(super) fn peer_closed(&mut self, target: SocketAddrV4) {
         self.peers.insert(target, PeerLink { connection: None, changed_at: self.now });
     }
 
-    /// Closes a connection to another controller over which nothing seems to arrive, so that it is dialled again.
+    /// Closes the connection to another controller that is silent, so that the next frame dials it again. Connections
+    /// younger than [`PEER_STALL_TIMEOUT`] are kept.
     pub fn redial_peer(&mut self, target: SocketAddrV4) {
         let Some(PeerLink { connection: Some(id), changed_at }) = self.peers.get(&target) else { return };
-        if self.now.since(*changed_at) > PEER_SILENCE_TIMEOUT {
+        if self.now.since(*changed_at) > PEER_STALL_TIMEOUT {
             self.close(*id);
         }
     }
