--- a/src/transport/reactor.rs
+++ b/src/transport/reactor.rs
@@ -4,8 +4,8 @@
 //! once as far as the socket accepts it, and the rest when the socket becomes writable. The submodules extend
 //! [`Transport`] by the listening sockets and by one kind of connection each.
 
+mod client_connections;
 mod connection;
-mod front;
 mod listener;
 mod outgoing_calls;
 mod peer_links;
@@ -14,8 +14,8 @@
 use crate::time::{Span, Time};
 use calloop::generic::Generic;
 use calloop::{Interest, LoopHandle, Mode, PostAction, Readiness};
+use client_connections::ClientConnections;
 use connection::{Connection, ConnectionId, ConnectionKind, ReadOutcome, Registration, WriteOutcome};
-use front::FrontConnections;
 use outgoing_calls::OutgoingCalls;
 use peer_links::PeerLink;
 use socket2::{Domain, Protocol, Socket, Type};
@@ -89,7 +89,7 @@
     handle: LoopHandle<'static, Transport>,
     connections: HashMap<ConnectionId, Connection>,
     last_connection: ConnectionId,
-    front: FrontConnections,
+    clients: ClientConnections,
     outgoing: OutgoingCalls,
     peers: HashMap<SocketAddrV4, PeerLink>,
     inbox: VecDeque<NetEvent>,
@@ -105,7 +105,7 @@
             handle,
             connections: HashMap::new(),
             last_connection: ConnectionId::default(),
-            front: FrontConnections::new(max_sockets),
+            clients: ClientConnections::new(max_sockets),
             outgoing: OutgoingCalls::new(max_sockets),
             peers: HashMap::new(),
             inbox: VecDeque::new(),
@@ -197,7 +197,7 @@
             return;
         }
         match connection.kind {
-            ConnectionKind::Front(_) => self.take_request(id),
+            ConnectionKind::Client(_) => self.take_request(id),
             ConnectionKind::Service { .. } => self.take_response(id),
             ConnectionKind::PeerIncoming | ConnectionKind::PeerOutgoing { .. } => self.take_frames(id),
         }
@@ -218,7 +218,7 @@
     fn close(&mut self, id: ConnectionId) {
         let Some(connection) = self.connections.remove(&id) else { return };
         match connection.into_kind() {
-            ConnectionKind::Front(front) => self.front_closed(&front),
+            ConnectionKind::Client(client) => self.client_closed(&client),
             ConnectionKind::Service { target, call } => self.service_closed(id, target, call),
             ConnectionKind::PeerIncoming => {}
             ConnectionKind::PeerOutgoing { target } => self.peer_closed(target),
--- a/src/transport/reactor/front.rs
+++ b/src/transport/reactor/client_connections.rs
@@ -20,18 +20,18 @@
 const EMPTY_BODY: &[u8] = b"{}";
 
 /// All client connections and the requests that wait for a reply.
-pub(super) struct FrontConnections {
-    slots: FrontSlots,
+pub(super) struct ClientConnections {
+    slots: ClientSlots,
     last_request: RequestId,
     /// Connections of the requests that wait for a reply.
     requests: HashMap<RequestId, ConnectionId>,
 }
 
-impl FrontConnections {
-    pub fn new(max_sockets: usize) -> FrontConnections {
+impl ClientConnections {
+    pub fn new(max_sockets: usize) -> ClientConnections {
         let limit = max_sockets - max_sockets / RESERVED_SOCKETS_DIVISOR - RESERVED_SOCKETS;
-        FrontConnections {
-            slots: FrontSlots { used: Rc::default(), limit },
+        ClientConnections {
+            slots: ClientSlots { used: Rc::default(), limit },
             last_request: RequestId(0),
             requests: HashMap::new(),
         }
@@ -46,12 +46,12 @@
 }
 
 /// Counter of the client connections and its limit.
-struct FrontSlots {
+struct ClientSlots {
     used: Rc<Cell<usize>>,
     limit: usize,
 }
 
-impl FrontSlots {
+impl ClientSlots {
     /// Returns `true` if more than three quarters of the slots are in use. Connections are then closed after each
     /// reply, so that more clients than there are sockets can be served in turn.
     fn is_nearly_exhausted(&self) -> bool {
@@ -62,53 +62,53 @@
         self.used.get() >= self.limit
     }
 
-    fn acquire(&self) -> Option<FrontSlot> {
+    fn acquire(&self) -> Option<ClientSlot> {
         if self.is_exhausted() {
             return None;
         }
         self.used.set(self.used.get() + 1);
-        Some(FrontSlot { used: self.used.clone() })
+        Some(ClientSlot { used: self.used.clone() })
     }
 }
 
 /// Slot of a client connection, which is released when the value is dropped.
-struct FrontSlot {
+struct ClientSlot {
     used: Rc<Cell<usize>>,
 }
 
-impl Drop for FrontSlot {
+impl Drop for ClientSlot {
     fn drop(&mut self) {
         self.used.set(self.used.get() - 1);
     }
 }
 
 /// State of a client connection.
-pub(super) struct FrontState {
+pub(super) struct ClientState {
     /// Request that waits for its reply, if any.
-    pub waiting: Option<RequestId>,
+    pub pending_request: Option<RequestId>,
     /// `true` if the connection is to be closed after the current or next reply.
-    pub close: bool,
+    pub close_after_reply: bool,
     /// Time at which the first bytes of an incomplete request arrived.
     pub request_started: Option<Time>,
-    _slot: FrontSlot,
+    _slot: ClientSlot,
 }
 
 impl Transport {
     /// Adds a client connection. If the limit is reached, the connection that has been idle for longest is closed in
     /// its favour; if none has been idle for long enough, the new one is closed.
-    pub(super) fn front_accepted(&mut self, stream: TcpStream) {
-        if self.front.slots.is_exhausted() {
-            self.close_longest_idle_front();
+    pub(super) fn add_client(&mut self, stream: TcpStream) {
+        if self.clients.slots.is_exhausted() {
+            self.close_longest_idle_client();
         }
-        let Some(slot) = self.front.slots.acquire() else { return };
-        let state = FrontState { waiting: None, close: false, request_started: None, _slot: slot };
-        self.register(stream, ConnectionKind::Front(state));
+        let Some(slot) = self.clients.slots.acquire() else { return };
+        let state = ClientState { pending_request: None, close_after_reply: false, request_started: None, _slot: slot };
+        self.register(stream, ConnectionKind::Client(state));
     }
 
-    fn close_longest_idle_front(&mut self) {
+    fn close_longest_idle_client(&mut self) {
         let idle = self.connections.iter().filter(|(_, connection)| {
-            let ConnectionKind::Front(front) = &connection.kind else { return false };
-            let is_unused = front.waiting.is_none() && front.request_started.is_none();
+            let ConnectionKind::Client(client) = &connection.kind else { return false };
+            let is_unused = client.pending_request.is_none() && client.request_started.is_none();
             is_unused && self.now.since(connection.last_active) > MIN_IDLE_BEFORE_EVICTION
         });
         let longest_idle = idle.min_by_key(|(_, connection)| connection.last_active);
@@ -120,10 +120,10 @@
     /// Parses the next request in the input of a client connection and removes it from there.
     pub(super) fn take_request(&mut self, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
-        let ConnectionKind::Front(front) = &mut connection.kind else { return };
-        if front.waiting.is_some() || front.close {
-            // The next request is parsed after the reply to this one. Well-behaved clients send little in the meantime;
-            // the input buffers of other clients must not grow without bound.
+        let ConnectionKind::Client(client) = &mut connection.kind else { return };
+        if client.pending_request.is_some() || client.close_after_reply {
+            // The next request is parsed after the reply to the current one. Well-behaved clients send little in the
+            // meantime; the input buffers of other clients must not grow without bound.
             if connection.input.len() > MAX_PIPELINED_BYTES {
                 self.close(id);
             }
@@ -131,13 +131,13 @@
         }
         match http::parse_request(&connection.input) {
             Ok(Parsed::Partial) => {
-                front.request_started.get_or_insert(self.now);
+                client.request_started.get_or_insert(self.now);
             }
             Ok(Parsed::Complete(request, length)) => {
-                let request_id = self.front.add_request(id);
-                front.waiting = Some(request_id);
-                front.request_started = None;
-                front.close = request.close;
+                let request_id = self.clients.add_request(id);
+                client.pending_request = Some(request_id);
+                client.request_started = None;
+                client.close_after_reply = request.close;
                 connection.discard_input(length);
                 self.inbox.push_back(NetEvent::Request { id: request_id, request });
             }
@@ -149,8 +149,8 @@
     /// cannot be determined.
     fn refuse_request(&mut self, id: ConnectionId, error: ParseError) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
-        let ConnectionKind::Front(front) = &mut connection.kind else { return };
-        front.close = true;
+        let ConnectionKind::Client(client) = &mut connection.kind else { return };
+        client.close_after_reply = true;
         connection.input = Vec::new();
         connection.output.extend(http::write_response(error.status(), None, true, EMPTY_BODY));
         self.flush(id);
@@ -158,20 +158,20 @@
 
     /// Replies to a request. Does nothing if the connection of the request has been closed.
     pub fn reply(&mut self, id: RequestId, status: u16, retry_after: Option<u32>, body: &[u8]) {
-        let Some(connection_id) = self.front.requests.remove(&id) else { return };
+        let Some(connection_id) = self.clients.requests.remove(&id) else { return };
         let Some(connection) = self.connections.get_mut(&connection_id) else { return };
-        let ConnectionKind::Front(front) = &mut connection.kind else { return };
-        front.waiting = None;
-        front.close |= self.front.slots.is_nearly_exhausted();
-        connection.output.extend(http::write_response(status, retry_after, front.close, body));
+        let ConnectionKind::Client(client) = &mut connection.kind else { return };
+        client.pending_request = None;
+        client.close_after_reply |= self.clients.slots.is_nearly_exhausted();
+        connection.output.extend(http::write_response(status, retry_after, client.close_after_reply, body));
         self.flush(connection_id);
         self.take_messages(connection_id);
     }
 
     /// Removes the request that waited for a reply on a closed connection.
-    pub(super) fn front_closed(&mut self, front: &FrontState) {
-        if let Some(request) = front.waiting {
-            self.front.requests.remove(&request);
+    pub(super) fn client_closed(&mut self, client: &ClientState) {
+        if let Some(request) = client.pending_request {
+            self.clients.requests.remove(&request);
         }
     }
 }
--- a/src/transport/reactor/connection.rs
+++ b/src/transport/reactor/connection.rs
@@ -1,6 +1,6 @@
 //! Socket, buffers and kind of a single connection.
 
-use super::front::FrontState;
+use super::client_connections::ClientState;
 use super::{CallId, IDLE_TIMEOUT, PEER_STALL_TIMEOUT, POOLED_TIMEOUT, SLOW_REQUEST_TIMEOUT, Transport};
 use crate::time::Time;
 use calloop::{LoopHandle, RegistrationToken};
@@ -25,7 +25,7 @@
 /// Kind of a connection, with the state that depends on it.
 pub(super) enum ConnectionKind {
     /// Connection from a user or worker.
-    Front(FrontState),
+    Client(ClientState),
     /// Connection to a service, a worker or the health check of another controller. `call` is the call that waits for
     /// its response, if any.
     Service { target: SocketAddrV4, call: Option<CallId> },
@@ -149,17 +149,20 @@
 
     /// Returns `true` if the connection is to be closed once its output is written.
     pub fn closes_once_written(&self) -> bool {
-        matches!(&self.kind, ConnectionKind::Front(front) if front.waiting.is_none() && front.close)
+        matches!(
+            &self.kind,
+            ConnectionKind::Client(client) if client.pending_request.is_none() && client.close_after_reply
+        )
     }
 
     /// Returns `true` if the connection has been idle for too long, or a message takes too long to be transferred.
     pub fn is_stale(&self, now: Time) -> bool {
         let idle = now.since(self.last_active);
         match &self.kind {
-            ConnectionKind::Front(FrontState { request_started: Some(started), .. }) => {
+            ConnectionKind::Client(ClientState { request_started: Some(started), .. }) => {
                 now.since(*started) > SLOW_REQUEST_TIMEOUT
             }
-            ConnectionKind::Front(front) => front.waiting.is_none() && idle > IDLE_TIMEOUT,
+            ConnectionKind::Client(client) => client.pending_request.is_none() && idle > IDLE_TIMEOUT,
             ConnectionKind::Service { call, .. } => call.is_none() && idle > POOLED_TIMEOUT,
             ConnectionKind::PeerIncoming => idle > IDLE_TIMEOUT,
             // Heartbeats are sent several times a second, so output that makes no progress indicates a broken network.
--- a/src/transport/reactor/listener.rs
+++ b/src/transport/reactor/listener.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ListenerKind {
     /// Connections from users and workers.
-    Front,
+    Clients,
     /// Connections from other controllers.
     Peers,
 }
@@ -20,7 +20,7 @@
 impl Transport {
     /// Listens for users and workers.
     pub fn listen_front(&mut self, addr: SocketAddrV4) -> io::Result<()> {
-        self.listen(addr, ListenerKind::Front)
+        self.listen(addr, ListenerKind::Clients)
     }
 
     /// Listens for other controllers.
@@ -53,7 +53,7 @@
 
     fn add_accepted(&mut self, stream: TcpStream, kind: ListenerKind) {
         match kind {
-            ListenerKind::Front => self.front_accepted(stream),
+            ListenerKind::Clients => self.add_client(stream),
             ListenerKind::Peers => {
                 self.register(stream, ConnectionKind::PeerIncoming);
             }
--- a/src/transport/reactor/outgoing_calls.rs
+++ b/src/transport/reactor/outgoing_calls.rs
@@ -26,7 +26,7 @@
     deadline: Time,
     target: SocketAddrV4,
     /// Serialized request; empty after it has been moved to the output of a connection.
-    bytes: Vec<u8>,
+    request_bytes: Vec<u8>,
     /// Connection on which the request was sent; `None` while the call is queued.
     connection: Option<ConnectionId>,
 }
@@ -80,9 +80,9 @@
 impl Transport {
     /// Sends a request. Exactly one [`NetEvent::Answer`] follows.
     pub fn call(&mut self, call: CallId, target: SocketAddrV4, request: &OutgoingRequest<'_>, timeout: Span) {
-        let bytes = http::write_request(request, &target.to_string());
+        let request_bytes = http::write_request(request, &target.to_string());
         let deadline = self.now + timeout;
-        self.outgoing.calls.insert(call, OutgoingCall { deadline, target, bytes, connection: None });
+        self.outgoing.calls.insert(call, OutgoingCall { deadline, target, request_bytes, connection: None });
         self.outgoing.pool(target).queue.push_back(call);
         self.start_queued_calls(target);
     }
@@ -143,7 +143,7 @@
         outgoing.connection = Some(id);
         connection.kind = ConnectionKind::Service { target, call: Some(call) };
         connection.last_active = self.now;
-        connection.output.extend(std::mem::take(&mut outgoing.bytes));
+        connection.output.extend(std::mem::take(&mut outgoing.request_bytes));
         self.flush(id);
     }
 
--- a/src/transport/reactor/peer_links.rs
+++ b/src/transport/reactor/peer_links.rs
@@ -91,8 +91,8 @@
         self.peers.insert(target, PeerLink { connection: None, changed_at: self.now });
     }
 
-    /// Closes the connection to another controller that is silent, so that the next frame dials it again. Connections
-    /// younger than [`PEER_STALL_TIMEOUT`] are kept.
+    /// Closes the connection to another controller, which the caller has found silent, so that a later frame dials it
+    /// again. A connection younger than `PEER_STALL_TIMEOUT` is kept.
     pub fn redial_peer(&mut self, target: SocketAddrV4) {
         let Some(PeerLink { connection: Some(id), changed_at }) = self.peers.get(&target) else { return };
         if self.now.since(*changed_at) > PEER_STALL_TIMEOUT {
