--- a/crates/model/src/model/ids.rs
+++ b/crates/model/src/model/ids.rs
@@ -38,7 +38,7 @@
     AgentEpoch(u64);
     /// Sequence number of a worker's message within its agent epoch.
     SequenceNumber(u64);
-    /// Number of an attempt at a task. The leadership term is part of the number, so that no number is used twice.
+    /// Number of an attempt at a task. The leadership term forms its upper bits, so that no number is used twice.
     AttemptNumber(u64);
     /// Index of a task within its job, from 0.
     TaskIndex(u32);
