--- a/src/config/properties.rs
+++ b/src/config/properties.rs
@@ -21,8 +21,8 @@
     pub leadership_poll_interval: Span,
     /// Time after which an idle machine is deleted.
     pub idle_machine_timeout: Span,
-    /// Ratio of the service replicas for which the fleet should have room to those of the submitted services; 1 means no
-    /// spare room.
+    /// Ratio of the service replicas for which the fleet should have room to those of the submitted services; 1 means
+    /// no spare room.
     pub headroom: f64,
     /// Time for which a task may be skipped in the queue before it reserves the next machine with enough room.
     pub skip_limit: Span,
--- a/src/config/property_values.rs
+++ b/src/config/property_values.rs
@@ -1,5 +1,5 @@
-//! Parsers of property values for `#[serde(deserialize_with = ...)]`. Each function parses the text of a value as one
-//! type and checks its range.
+//! Parsers of property values for `#[serde(deserialize_with = ...)]`. All values in a properties file are texts; each
+//! function parses one type and checks its range.
 
 use crate::model::Name;
 use crate::time::Span;
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -58,7 +58,8 @@
     pub shards: u32,
     /// Guaranteed resources and quotas of the teams.
     pub teams: BTreeMap<Name, TeamLimits>,
-    /// Objectives for the time in which a job should finish once it is ready to start, by job class; the strictest first.
+    /// Objectives for the time in which a job should finish once it is ready to start, by job class; the strictest
+    /// first.
     pub finish_within: BTreeMap<Name, Vec<Span>>,
     /// Strictest objective for the time in which the tasks of a job should start once it is ready, by job class.
     pub start_within: BTreeMap<Name, Span>,
