--- a/tests/availability.rs
+++ b/tests/availability.rs
@@ -1,4 +1,4 @@
-//! Users are answered and tasks go on while controllers, machines and connections fail.
+//! Availability: users get answers and tasks keep running while controllers, machines and connections fail.
 
 mod simulation;
 
@@ -10,7 +10,8 @@
     other_controllers,
 };
 
-/// Returns a simulation with services, and short arrays that come all the time, so that tasks are always waiting.
+/// Returns a simulation that runs services, and short job arrays submitted twice a second, so that tasks are always
+/// waiting.
 fn busy_cluster(seed: u64) -> Simulation {
     let mut simulation = Simulation::with_one_shard(seed, [6, 6]);
     simulation.cloud.reliable = true;
@@ -25,7 +26,7 @@
     simulation
 }
 
-/// Loses all answers and commands to every `step`-th machine. Returns how many machines these are.
+/// Loses all answers and commands to every `step`-th machine for `duration`. Returns the number of these machines.
 fn lose_answers(simulation: &mut Simulation, step: usize, duration: u64) -> usize {
     let until = simulation.now + duration;
     let machines: Vec<u32> = simulation.machines().into_iter().step_by(step).collect();
@@ -47,7 +48,8 @@
     }
 }
 
-/// If a large part of the machines gets no answers, the fault may be on the controllers' side.
+/// Guards against healthy machines that are deleted because of a fault of the controllers or the network: if a large
+/// part of the machines gets no answers, the cause is probably not in the machines.
 #[test]
 fn healthy_machines_are_not_returned_when_many_answers_are_lost() {
     let returned = |seed: u64, loses_answers: bool| {
@@ -62,11 +64,15 @@
     };
     for seed in 0..4 {
         let (usual, with_losses) = (returned(seed, false), returned(seed, true));
-        assert!(with_losses <= usual + 2, "seed {seed}: {with_losses} machines returned instead of {usual}");
+        assert!(
+            with_losses <= usual + 2,
+            "seed {seed}: {with_losses} machines deleted when answers are lost, {usual} otherwise"
+        );
     }
 }
 
-/// Heartbeats that arrive a second time, some of them from machines that were returned meanwhile.
+/// Guards against machine records that are written for vanished machines. Worker heartbeats arrive a second time up to
+/// three worker leases later, some of them from machines that have vanished in the meantime.
 #[test]
 fn late_duplicates_of_heartbeats_register_no_machine() {
     for seed in 0..6 {
@@ -78,7 +84,7 @@
             let machine = machines[simulation.rng.random_range(0..machines.len())];
             simulation.reclaim_machine(machine);
         }
-        // A machine may vanish while its first heartbeat is on its way.
+        // One record is allowed: a machine may vanish while its first heartbeat is in transit.
         let recorded = simulation.observations.vanished_machines_recorded;
         assert!(recorded <= 1, "seed {seed}: {recorded} machines were recorded that had vanished");
         simulation.run_until(140 * SEC);
@@ -87,7 +93,8 @@
     }
 }
 
-/// Controllers and machines restart within a fraction of a second, also twice in a row and during a failover.
+/// Guards against restarts that go unnoticed because they are short. Controllers and machines restart within a fraction
+/// of a second, also twice in a row and during a failover.
 #[test]
 fn quick_restarts_are_noticed() {
     for seed in 0..10 {
@@ -112,7 +119,8 @@
     }
 }
 
-/// The leader keeps its workers and users and loses all other connections, for less and for more than its lease lasts.
+/// Guards against a deposed leader that still reaches its workers and users, but no other endpoint. The partitions last
+/// from less than the leader's lease to far longer.
 #[test]
 fn isolated_leader_with_workers_and_users_violates_no_rule() {
     for (seed, duration) in [(0, 3), (1, 8), (2, 20), (3, 40), (4, 90), (5, 150)] {
@@ -127,7 +135,8 @@
     }
 }
 
-/// Submissions were once answered with 503 while the controllers could not reach one another, and during a failover.
+/// Guards against submissions that are answered with 503 while no controller can reach another one, or during a
+/// failover: a controller that cannot reach the leader has to accept them with hand-off records.
 #[test]
 fn every_controller_accepts_jobs_while_the_leader_is_unreachable() {
     let mut simulation = Simulation::with_one_shard(6, [10, 10]);
@@ -141,17 +150,18 @@
     simulation.run_until(until);
     let is_quick = |user: &&User| user.accepted_at.is_some_and(|at| at - user.submit_at < SEC);
     let accepted = simulation.users.iter().filter(is_quick).count();
-    assert!(accepted >= 27, "{accepted} of 30 were accepted within a second");
-    // They are also executed, because the leader finds the hand-off records.
+    assert!(accepted >= 27, "{accepted} of 30 jobs were accepted within a second");
+    // The leader finds the hand-off records and executes the jobs.
     let done = simulation.completed.len();
-    assert!(done >= 24, "{done} of 30 are done while the controllers are still separated");
+    assert!(done >= 24, "{done} of 30 jobs are done before the partition ends");
     simulation.run_until(90 * SEC);
     simulation.assert_no_violations();
     simulation.assert_accepted_jobs_ended();
     simulation.assert_jobs_accepted_except(2);
 }
 
-/// For 25 s after a crash nothing could be started of what had run on machines that vanished at the same time.
+/// Guards against a reconciliation that waits for vanished machines: for 25 s after a crash of the controllers, tasks
+/// of machines that vanished at the same time were not started again.
 #[test]
 fn failover_does_not_wait_for_vanished_machines() {
     let mut simulation = Simulation::with_one_shard(7, [12, 12]);
@@ -169,7 +179,8 @@
     assert_eq!(simulation.running_tasks(), 36, "running tasks 18 s after the crash");
 }
 
-/// When every poll was a read at the state service, controllers without jobs exceeded the rate limit.
+/// Guards against polls that exceed the state service's rate limit. When controllers that do not lead the shard read
+/// the job's record for every poll, they exceeded the limit.
 #[test]
 fn polls_are_forwarded_to_the_leader() {
     let mut simulation = Simulation::with_one_shard(8, [12, 12]);
@@ -181,23 +192,23 @@
     simulation.run_until(40 * SEC);
     let reads = simulation.state_service.reads.iter().sum::<u64>() - before;
     simulation.assert_no_violations();
-    // A few polls are about unknown jobs, for which the records have to be read.
-    assert!(reads < 60, "{reads} reads for some 500 polls");
+    // A few polls are for unknown jobs, for which the records have to be read.
+    assert!(reads < 60, "{reads} reads at the state service for about 500 polls");
 }
 
-/// A cluster after its leader was cut off from some endpoints for 30 s.
+/// Cluster whose leader has been cut off from some endpoints for 29 s.
 struct CutOffLeader {
     simulation: Simulation,
-    /// The leader before the partition.
+    /// Leader before the partition.
     leader: usize,
-    /// How many worker leases have expired meanwhile.
+    /// Number of worker leases that expired during the partition.
     expired_leases: u64,
 }
 
-/// Cuts off the leader from some endpoints, after a failover if wanted.
+/// Cuts off the leader from the endpoints `from` for 30 s, after a failover if `after_failover` is set.
 fn cut_off_leader(seed: u64, delay_packets: bool, after_failover: bool, from: &[Endpoint]) -> CutOffLeader {
     let mut simulation = Simulation::with_one_shard(seed, [12, 12]);
-    // Faulty machines would be returned.
+    // Faulty machines would be deleted, and the test compares the number of machines.
     simulation.cloud.reliable = true;
     for id in 0..12 {
         simulation.add_user(spec(id, JobKind::Service, "free", 3, 2.0), FOREVER, 2 * SEC, None, false);
@@ -215,12 +226,16 @@
     simulation.partition(Endpoint::Controller(leader), from.iter().copied(), until, delay_packets);
     simulation.run_until(until - SEC);
     let machines = simulation.workers.len();
-    assert!(machines >= machines_before, "machines were returned: {machines_before} to {machines}");
+    assert!(
+        machines >= machines_before,
+        "machines were deleted: {machines_before} before the partition, {machines} after it"
+    );
     let expired_leases = epochs(&simulation) - epochs_before - (machines - machines_before) as u64;
     CutOffLeader { simulation, leader, expired_leases }
 }
 
-/// A leader that reached everything but the workers once kept its shard, and all worker leases expired.
+/// Guards against the loss of all tasks when the leader reaches every endpoint but the workers. It keeps its shard, so
+/// the other controllers have to relay worker heartbeats to it, or else all worker leases expire.
 #[test]
 fn heartbeats_are_relayed_to_a_leader_that_workers_cannot_reach() {
     let cases =
@@ -231,7 +246,7 @@
         assert_eq!(expired_leases, 0, "seed {seed}: expired worker leases");
         assert_eq!(simulation.leader(0), Some(leader), "seed {seed}: the leader was replaced");
         simulation.assert_no_violations();
-        // New jobs are executed as well.
+        // A job that is submitted after the partition is executed as well.
         let submit_at = simulation.now + SEC;
         simulation.add_user(spec(50, JobKind::Array, "free", 4, 1.0), SEC, submit_at, None, false);
         simulation.run_until(submit_at + 90 * SEC);
@@ -241,7 +256,8 @@
     }
 }
 
-/// A leader that reaches nothing but the state service cannot do anything with its shard.
+/// Guards against a shard without progress: a leader that reaches only the state service can still renew its lease, but
+/// cannot start tasks or answer users.
 #[test]
 fn isolated_leader_steps_down() {
     for (seed, delay_packets) in [(30, LOSE_PACKETS), (31, DELAY_PACKETS)] {
@@ -250,12 +266,16 @@
         let CutOffLeader { simulation, leader, expired_leases } = cut_off_leader(seed, delay_packets, false, &from);
         simulation.assert_no_violations();
         let now = simulation.leader(0);
-        assert!(now.is_some_and(|now| now != leader), "seed {seed}: led by {now:?}, before by {leader}");
+        assert!(
+            now.is_some_and(|now| now != leader),
+            "seed {seed}: leader {now:?} after the partition, {leader} before it"
+        );
         assert!(delay_packets || expired_leases == 0, "seed {seed}: {expired_leases} worker leases expired");
     }
 }
 
-/// Controllers that reach neither one another nor any worker must not take over the shard again and again.
+/// Guards against controllers that take over the shard from each other again and again while none of them reaches
+/// another controller or a worker.
 #[test]
 fn leadership_rarely_changes_among_isolated_controllers() {
     let mut simulation = Simulation::with_one_shard(32, [12, 12]);
@@ -275,15 +295,16 @@
         changes += u32::from(now.is_some() && now != last);
         last = now.or(last);
     }
-    // The acquisition backoff of each controller is 20, 40 and 80 s.
+    // Each controller backs off for 20, 40 and 80 s before it acquires leadership again.
     assert!(changes <= 9, "the leader changed {changes} times in 120 s");
     simulation.run_until(200 * SEC);
     simulation.assert_no_violations();
     assert_eq!(simulation.running_tasks_of(&JobId::new("wk-000001")), 3);
 }
 
-/// When hundreds of small jobs ended together, most final records were once refused because of the rate limit, again
-/// and again, and submissions, polls and keep-alives too.
+/// Guards against final records that use up the state service's write limit. When hundreds of small jobs ended
+/// together, most of these writes were refused and retried again and again, and with them submissions, polls and lease
+/// keep-alives were refused.
 #[test]
 fn hundreds_of_jobs_that_end_together_stay_within_the_write_limit() {
     let mut simulation = Simulation::with_one_shard(50, [20, 20]);
@@ -292,14 +313,14 @@
         let submit_at = 6 * SEC + simulation.rng.random_range(0..12 * SEC);
         simulation.add_user(spec(id, JobKind::Array, "free", 1, 0.5), 18 * SEC, submit_at, None, false);
     }
-    // For a moment nothing can be recorded while they end.
+    // An outage of 3 s while the jobs end delays their final records, which are then due all at once.
     simulation.run_until(26 * SEC);
     let before = simulation.state_service.over_limit;
     simulation.state_service.start_outage(26 * SEC, 3 * SEC);
     simulation.run_until(75 * SEC);
     simulation.assert_no_violations();
     let over_limit = simulation.state_service.over_limit - before;
-    assert!(over_limit < 60, "{over_limit} requests over the limit");
+    assert!(over_limit < 60, "{over_limit} requests refused because of the rate limit");
     let done = simulation.users.iter().filter(|user| user.done_at.is_some()).count();
     assert!(done >= 295, "{done} of 300 jobs are done");
 }
--- a/tests/failover.rs
+++ b/tests/failover.rs
@@ -1,4 +1,4 @@
-//! Failover: how soon the leader of a shard is replaced after a failure, and that no rule is violated while a deposed
+//! Failover: the time until the leader of a shard is replaced after a failure, and the safety rules while a deposed
 //! leader and its successor act at the same time.
 
 mod simulation;
@@ -14,19 +14,19 @@
     other_controllers,
 };
 
-/// Property: other controllers watch the records and take over early.
+/// Property that makes the other controllers monitor the leader and take over before its node lease expires.
 const ENABLED: &str = "standby.enabled";
 
-/// How many tasks of services run in the workload of these tests.
+/// Number of service tasks that run in the workload of these tests.
 const SERVICE_TASKS: usize = 28;
 
-/// Returns a simulation with one shard that executes services, arrays of the limited and the free team, and jobs that
-/// end or are cancelled all the time.
+/// Returns a simulation of one shard that runs services and job arrays of a team with a quota (`limited`) and of one
+/// without (`free`). Throughout the run jobs are submitted, complete or are cancelled.
 fn busy_cluster(seed: u64) -> Simulation {
     start_workload(Simulation::with_one_shard(seed, [12, 12]))
 }
 
-/// Adds the workload and runs until it is under way.
+/// Adds the workload and runs the simulation until its tasks are running.
 fn start_workload(mut simulation: Simulation) -> Simulation {
     simulation.add_services();
     for id in 100..160 {
@@ -43,7 +43,7 @@
     simulation
 }
 
-/// A failure after which a leader has to be replaced.
+/// Failure after which the leader has to be replaced.
 #[derive(Clone, Copy, Debug)]
 enum LeaderFailure {
     Crash,
@@ -52,7 +52,8 @@
     RefusedByStateService,
 }
 
-/// Has the leader fail, and returns how many milliseconds later it is replaced, if it is within 10 s.
+/// Makes the leader fail and returns the time until it is replaced, in milliseconds, or `None` if it has not been
+/// replaced within 10 s.
 fn time_to_failover(mut simulation: Simulation, failure: LeaderFailure) -> Option<u64> {
     let node = simulation.current_leader();
     let now = simulation.now;
@@ -86,32 +87,32 @@
     for failure in failures {
         for seed in 1..5 {
             let with = time_to_failover(busy_cluster(seed), failure);
-            assert!(with.is_some_and(|ms| ms <= 2200), "{failure:?}, seed {seed}: replaced after {with:?} ms");
+            assert!(with.is_some_and(|ms| ms <= 2200), "{failure:?}, seed {seed}: leader replaced after {with:?} ms");
         }
         let simulation = start_workload(Simulation::with_one_shard_without(1, [12, 12], ENABLED));
         let without = time_to_failover(simulation, failure);
         assert!(
             without.is_none_or(|ms| ms > 3000),
-            "the test proves nothing: {failure:?}, {without:?} ms without the property"
+            "control run: {failure:?}: leader replaced after {without:?} ms although {ENABLED} is off"
         );
     }
 }
 
-/// A fault that is no reason to replace the leader.
+/// Fault after which the leader must stay, because it is running and reaches the state service.
 #[derive(Clone, Copy, Debug)]
 enum HarmlessFault {
-    /// The leader cannot reach the other controllers, and shows by its liveness record that it is running.
+    /// The leader cannot reach the other controllers, but still writes its liveness record.
     LeaderCutOffFromControllers,
-    /// Controllers cannot reach one another.
+    /// No controller can reach another one.
     ControllersPartitioned,
-    /// The leader cannot reach one controller, and the third one reaches both.
+    /// The leader cannot reach one controller; the third controller reaches both.
     LeaderCutOffFromOneController,
     LeaderCutOffFromUsers,
-    /// The leader cannot reach its workers, whose heartbeats are relayed.
+    /// The leader cannot reach its workers; the other controllers relay their heartbeats.
     LeaderCutOffFromMachines,
-    /// The leader is frozen for less than a failure detector may notice.
+    /// The leader is frozen for less than the timeout of the failure detector.
     ShortFreezeOfLeader,
-    /// Another controller is frozen, to which all others then appear silent.
+    /// Another controller is frozen, so that after the freeze all others appear silent to it.
     FreezeOfAnotherController,
 }
 
@@ -164,9 +165,10 @@
     }
 }
 
-/// A controller is shown the shards' keys as they were some seconds ago, so that it does not see the liveness records
-/// of a leader that it cannot hear. Its attempts to acquire leadership depend on the revision of the liveness record
-/// that it knows, and fail.
+/// Guards against the replacement of a running leader by a controller that reads stale data. The controller gets no
+/// heartbeats from the leader, and its listing of the shards' keys is frozen, so that the leader's later liveness
+/// records are missing. An attempt to acquire leadership is conditional on the last known revision of the liveness
+/// record and has to fail.
 #[test]
 fn liveness_record_that_is_seen_late_prevents_a_failover() {
     for seed in 30..34 {
@@ -186,8 +188,8 @@
     }
 }
 
-/// A controller that got no answers from the state service was once handed a shard without jobs again and again, which
-/// had no leader meanwhile.
+/// Guards against shards without jobs that are repeatedly released to a controller which gets no answers from the state
+/// service. The shards have no leader until that controller's attempt to acquire them has failed.
 #[test]
 fn no_shard_is_handed_to_a_controller_that_cannot_acquire_it() {
     for seed in 40..44 {
@@ -206,38 +208,38 @@
                 *before = leader;
             }
         }
-        assert!(changes <= 6, "seed {seed}: {changes} leadership changes of two shards without jobs");
+        assert!(changes <= 6, "seed {seed}: {changes} leadership changes in two shards without jobs");
     }
 }
 
-/// Faults that replace the leader, some of which hit its successor as well.
+/// Faults after which the leader is replaced. Some of them affect its successor as well.
 #[derive(Clone, Copy, Debug)]
 enum FailoverFaults {
-    /// The leader is frozen for that many milliseconds.
+    /// The leader is frozen for the given number of milliseconds.
     LeaderFrozen(u64),
-    /// Another controller is frozen for that many milliseconds.
+    /// Another controller is frozen for the given number of milliseconds.
     OtherFrozen(u64),
-    /// The leader is frozen, and its successor while it takes over.
+    /// The leader is frozen, and then its successor while it takes over.
     LeaderAndSuccessorFrozen,
-    /// The leader goes on as it is being replaced.
+    /// The leader is frozen and resumes while it is being replaced.
     LeaderResumesDuringFailover,
-    /// The leader and half of the machines are isolated for that many seconds.
+    /// The leader and half of the machines are isolated for the given number of seconds, and still reach each other.
     IsolatedWithMachines(u64),
     CutOffFromStateService,
     RefusedByStateService,
     /// The leader reaches only its workers and users.
     CutOffFromControllersAndStateService,
-    /// The answers to the leader's leadership checks arrive late.
+    /// The leader's leadership checks are answered late.
     DelayedLeadershipChecks,
-    /// The leader crashes, then its successor, then the next one.
+    /// The leader, its successor and the leader after that crash one after another.
     RepeatedCrashes,
-    /// The leader is frozen while controllers cannot reach one another, so that both others take over.
+    /// The leader is frozen while no controller can reach another one, so that both others try to take over.
     FrozenDuringPartition,
-    /// Some machines are reachable for the frozen leader only.
+    /// Some machines are reachable only by the leader, which is frozen.
     MachinesReachedByLeaderOnly,
-    /// An outage begins during the failover.
+    /// An outage of the state service begins during the failover.
     OutageDuringFailover,
-    /// Machines vanish, hang and are isolated during the failover.
+    /// Some machines vanish, hang or are isolated during the failover.
     MachineFailuresDuringFailover,
 }
 
@@ -335,7 +337,7 @@
     }
 }
 
-/// Has a fifth of the machines vanish, a fifth hang, and isolates a fifth.
+/// Reclaims a fifth of the machines, hangs a fifth, and isolates a fifth.
 fn fail_machines(simulation: &mut Simulation, delay_packets: bool) {
     for machine in simulation.machines() {
         let until = simulation.now + simulation.rng.random_range(SEC..16 * SEC);
@@ -348,7 +350,7 @@
     }
 }
 
-/// Starts the workload, injects the faults, and runs until their consequences are over.
+/// Starts the workload, injects the faults, and runs for another 100 s, in which the cluster has to recover.
 fn run_with_faults(simulation: Simulation, faults: FailoverFaults) -> Simulation {
     let mut simulation = start_workload(simulation);
     faults.inject(&mut simulation);
@@ -369,8 +371,8 @@
     }
 }
 
-/// However the watch behaves, the records are loaded in time, and nothing is served from a watch cache that is older
-/// than the term.
+/// Guards against a failover that relies on an up-to-date watch cache. However the watch behaves, the successor has to
+/// load the records in time, and must not serve anything from a cache that is older than its term.
 #[test]
 fn failover_does_not_depend_on_a_synced_watch_cache() {
     let behaviours =
@@ -395,7 +397,7 @@
     }
 }
 
-/// Checks that a successor has loaded the records that many milliseconds after the crash of the leader.
+/// Checks that `max_ms` milliseconds after a crash of the leader its successor has loaded the records.
 fn check_records_are_loaded_in_time(behaviour: WatchBehaviour, max_ms: u64) {
     let mut simulation = Simulation::with_one_shard(910, [12, 12]);
     simulation.state_service.watch_behaviour = behaviour;
@@ -404,29 +406,29 @@
     simulation.crash(node, 20 * SEC);
     simulation.run_for(max_ms * MS);
     let successor = simulation.current_leader();
-    assert_ne!(successor, node, "{behaviour:?}: not replaced");
+    assert_ne!(successor, node, "{behaviour:?}: leader not replaced {max_ms} ms after the crash");
     let loaded = simulation.recovery_status(successor)["loaded_ms"].as_u64();
     assert!(loaded.is_some(), "{behaviour:?}: records not loaded {max_ms} ms after the crash");
 }
 
-/// What the watch costs.
+/// Number of watch calls and of changes delivered to watches.
 #[derive(Debug)]
 struct WatchCost {
     calls: u64,
     changes: u64,
 }
 
-/// Returns what the watch costs in 20 s in a fleet with that many recorded machines.
+/// Returns the cost of the watches in 20 s in a fleet with the given number of machine records.
 fn watch_cost(machines: u32) -> WatchCost {
     let mut simulation = Simulation::with_one_shard(920, [12, 12]);
-    // The shard of these machines has no leader, so that nothing is done about them.
+    // The shard of these machines has no leader, so that no controller acts on them.
     let record = serde_json::json!(
         { "shard": 99, "kind": "small", "zone": "east", "spot": false, "addr": "10.1.0.9:9000" });
     for number in 0..machines {
         simulation.state_service.put(&format!("machine/z-{number:06}"), record.clone());
     }
     let mut simulation = start_workload(simulation);
-    // A list of all records takes its time, since its pages are small.
+    // Listing all records takes long because the pages are small.
     simulation.run_until(60 * SEC);
     let calls = |simulation: &Simulation| simulation.state_service.watches.iter().sum::<u64>();
     let (calls_before, changes_before) = (calls(&simulation), simulation.state_service.changes_delivered);
@@ -438,7 +440,8 @@
     }
 }
 
-/// Controllers that started together had not heard one another yet, and each once considered itself the first.
+/// Guards against several controllers that watch the records at the same time. Controllers that start together have not
+/// received one another's heartbeats yet, so that each could consider itself the one that has to watch.
 #[test]
 fn only_one_of_the_controllers_that_start_together_watches_the_records() {
     for seed in 930..936 {
@@ -446,7 +449,7 @@
         simulation.run_until(12 * SEC);
         let watches = simulation.state_service.watches;
         let watching = watches.iter().filter(|watches| **watches > 0).count();
-        assert_eq!(watching, 1, "seed {seed}: {watches:?} watch calls by controller");
+        assert_eq!(watching, 1, "seed {seed}: watch calls of each controller: {watches:?}");
     }
 }
 
@@ -456,12 +459,12 @@
     assert!(small.calls >= 20, "only {} watch calls in 20 s", small.calls);
     assert!(
         large.calls <= small.calls + 4 && large.changes <= 2 * small.changes + 20,
-        "{small:?} with few machines, {large:?} with many"
+        "{small:?} with 20 machine records, {large:?} with 2000"
     );
 }
 
-/// Cuts off the leader from the state service and the other controllers, while users still reach it. Returns how
-/// often it told an older state of a job whose end its successor had recorded, within 10 s.
+/// Cuts off the leader from the state service and the other controllers, while users still reach it, and polls it for
+/// 10 s. Counts the answers that contradict the final record of a job written by its successor.
 fn stale_answers_of_deposed_leader(seed: u64, disabled: DisabledSafeguard) -> StaleAnswers {
     let mut simulation = Simulation::with_one_shard(seed, [12, 12]);
     simulation.disabled = disabled;
@@ -480,14 +483,14 @@
         answers += stale_answers_of_deposed_leader(seed, DisabledSafeguard::None);
         stale_without_bounds += stale_answers_of_deposed_leader(seed, DisabledSafeguard::LeadershipBounds).stale;
     }
-    assert!(answers.ended_jobs >= 12, "only {} jobs have ended", answers.ended_jobs);
-    assert_eq!(answers.stale, 0, "older states told by the deposed leader");
-    assert!(stale_without_bounds > 0, "the test proves nothing: no older state is told without leadership bounds");
+    assert!(answers.ended_jobs >= 12, "only {} jobs ended after the failover", answers.ended_jobs);
+    assert_eq!(answers.stale, 0, "stale answers of the deposed leader");
+    assert!(stale_without_bounds > 0, "control run: no stale answer without leadership bounds");
 }
 
-/// The leader goes on with half of the machines, and of all of its calls to the state service only those arrive that
-/// read the record of a job. Its successor accepts jobs, about which users ask the deposed leader: if both adopted such
-/// a job, both would start its tasks.
+/// Guards against tasks that are started twice because two leaders adopt the same job. The deposed leader still reaches
+/// half of the machines, and of its calls to the state service only reads of job records arrive. Users poll it for jobs
+/// that its successor has accepted; it must not adopt a job whose record it reads for such a poll.
 #[test]
 fn deposed_leader_does_not_adopt_a_job_that_it_reads() {
     for seed in 850..858 {
@@ -509,14 +512,14 @@
             }
         }
         assert_ne!(simulation.current_leader(), node, "seed {seed}: the leader was not replaced");
-        assert!(recorded > 0, "seed {seed}: no job was accepted meanwhile");
+        assert!(recorded > 0, "seed {seed}: the successor accepted no job");
         simulation.run_until(now + 40 * SEC);
         simulation.assert_no_violations();
     }
 }
 
-/// Isolates the leader with half of the machines for 60 s. These machines cannot be returned, which would end their
-/// tasks.
+/// Isolates the leader with half of the machines for 60 s. Meanwhile the cloud refuses to delete machines, because a
+/// deletion would end their tasks.
 fn isolate_leader_with_machines(simulation: &mut Simulation) {
     let (node, until) = (simulation.current_leader(), simulation.now + 60 * SEC);
     let outside = other_controllers(node).chain([Endpoint::StateService, Endpoint::Cloud, Endpoint::Users]);
@@ -524,8 +527,8 @@
     simulation.cloud.deletes_refused_until = until;
 }
 
-/// Tasks on machines that only the deposed leader reaches are started elsewhere only when the last lease that it may
-/// have renewed has expired.
+/// Guards against tasks that run twice while a deposed leader still renews the leases of workers that its successor
+/// cannot reach. The successor has to wait until the last lease that may have been renewed has expired.
 #[test]
 fn machines_that_only_a_deposed_leader_reaches_are_waited_for() {
     for seed in 860..864 {
@@ -565,5 +568,5 @@
         let without_bounds = cancel_after_isolation(seed, DisabledSafeguard::LeadershipBounds);
         noticed += usize::from(without_bounds.violates(&[Rule::RanCancelled]));
     }
-    assert!(noticed > 0, "the test proves nothing: no task runs for too long without leadership bounds");
+    assert!(noticed > 0, "control run: no task of a cancelled job runs for too long without leadership bounds");
 }
--- a/tests/reconciliation.rs
+++ b/tests/reconciliation.rs
@@ -1,5 +1,5 @@
-//! Reconciliation after a failover: how soon tasks are started again, and that no rule is violated whatever fails
-//! meanwhile.
+//! Reconciliation after a failover: the time until tasks are started again, and the safety rules when further faults
+//! occur during reconciliation.
 
 mod simulation;
 
@@ -9,14 +9,15 @@
 use simulation::users::{User, spec};
 use simulation::{CONTROLLERS, DELAY_PACKETS, Endpoint, FOREVER, LOSE_PACKETS, MS, SEC, Simulation, other_controllers};
 
-/// Property: a restarted controller acquires the leadership that its former process had.
+/// Property that lets a restarted controller acquire leadership of its former process's shards without waiting for the
+/// former process's lease to expire.
 const RECLAIM: &str = "recovery.reclaim";
-/// Property: what does not depend on unreconciled machines is started before these are reconciled.
+/// Property that lets a new leader start tasks that do not depend on unreconciled machines before these are reconciled.
 const PIECEWISE: &str = "recovery.piecewise";
-/// Property: tasks are started during an outage of the state service.
+/// Property that lets a leader start tasks during an outage of the state service.
 const HOLD_ON: &str = "recovery.hold-on";
 
-/// Adds services, and arrays of the free team, and runs until they are under way.
+/// Adds services and job arrays of the team without a quota, and runs the simulation until their tasks are running.
 fn start_workload(mut simulation: Simulation) -> Simulation {
     simulation.add_services();
     for id in 100..112 {
@@ -29,7 +30,8 @@
     simulation
 }
 
-/// Crashes the leader and returns how many milliseconds after its restart the shard has a leader again.
+/// Crashes the leader and returns the time from its restart until the shard's record names a new term, in milliseconds,
+/// or `None` if that takes longer than 10 s.
 fn acquisition_after_restart(mut simulation: Simulation) -> Option<u64> {
     let node = simulation.current_leader();
     let before = simulation.state_service.get("shard/0").cloned();
@@ -51,24 +53,24 @@
     let with = acquisition_after_restart(start_workload(Simulation::with_one_shard(1, [12, 12])));
     assert!(with.is_some_and(|ms| ms <= 300), "leadership acquired {with:?} ms after the restart");
     let without = acquisition_after_restart(start_workload(Simulation::with_one_shard_without(1, [12, 12], RECLAIM)));
-    assert!(without.is_none_or(|ms| ms > 1500), "the test proves nothing: {without:?} ms without the property");
+    assert!(without.is_none_or(|ms| ms > 1500), "control run: acquired after {without:?} ms although {RECLAIM} is off");
 }
 
-/// Returns how many tasks were completed that may run in the west only.
+/// Returns the number of completed tasks that were restricted to the zone `west`.
 fn completed_in_the_west(simulation: &Simulation) -> usize {
     let is_in_the_west = |user: &&User| user.spec.zone == Some(Name::new("west"));
     let jobs = simulation.users.iter().filter(is_in_the_west);
     jobs.map(|user| simulation.completed_tasks_of(&user.spec.id)).sum()
 }
 
-/// Tasks that were completed in the zone without faults.
+/// Number of tasks that were completed in the zone without faults.
 struct CompletedTasks {
     before_crash: usize,
-    /// Twelve seconds after the crash.
+    /// Number of completed tasks 12 s after the crash.
     after_crash: usize,
 }
 
-/// Crashes the leader and, at the same time, isolates all machines of the other zone, which cannot be returned.
+/// Crashes the leader and at the same time isolates all machines of the zone `east`, which the cloud refuses to delete.
 fn crash_while_a_zone_is_isolated(mut simulation: Simulation) -> CompletedTasks {
     for id in 0..6 {
         let mut job = spec(id, JobKind::Array, "free", 40, 4.0);
@@ -89,7 +91,7 @@
     let after_crash = completed_in_the_west(&simulation);
     simulation.run_until(until + 60 * SEC);
     simulation.assert_no_violations();
-    assert_eq!(completed_in_the_west(&simulation), 120, "all tasks of the zone without faults");
+    assert_eq!(completed_in_the_west(&simulation), 120, "completed tasks of the zone without faults, of 120");
     CompletedTasks { before_crash, after_crash }
 }
 
@@ -98,11 +100,11 @@
     let with = crash_while_a_zone_is_isolated(Simulation::with_one_shard(5, [4, 0]));
     let without = crash_while_a_zone_is_isolated(Simulation::with_one_shard_without(5, [4, 0], PIECEWISE));
     let (before, with, without) = (with.before_crash, with.after_crash, without.after_crash);
-    assert!(with >= before + 35, "{before} completed before the crash, {with} afterwards");
-    assert!(without + 15 <= with, "the test proves nothing: {without} without the property, {with} with it");
+    assert!(with >= before + 35, "{before} tasks completed before the crash, {with} after it");
+    assert!(without + 15 <= with, "control run: {without} tasks completed without {PIECEWISE}, {with} with it");
 }
 
-/// Returns a machine other than `besides` that has the first task of a job.
+/// Returns a machine other than `besides` that reports the first task of a job.
 fn machine_with_first_task(simulation: &Simulation, job: &JobId, besides: Option<u32>) -> Option<u32> {
     let others = simulation.workers.values().filter(|worker| Some(worker.number) != besides);
     let mut with_task =
@@ -110,8 +112,8 @@
     with_task.next().map(|worker| worker.number)
 }
 
-/// Has the first task of a job fail on a machine that gets no answers, and waits until the task is started on another
-/// machine. Returns both machines.
+/// Makes the first task of a job fail on a machine to which all answers are lost, so that the machine keeps reporting
+/// the failure, and waits until the task is started on another machine. Returns both machines.
 fn fail_first_task(simulation: &mut Simulation, job: &JobId) -> (u32, u32) {
     let first = machine_with_first_task(simulation, job, None).expect("the first task was started");
     let end = simulation.now + 8 * SEC;
@@ -130,8 +132,9 @@
     (first, second.expect("the task was started on another machine"))
 }
 
-/// A task has failed on a machine that still reports the failure, and runs on another one. After a failover the first
-/// machine is reconciled first.
+/// Guards against a task that is started a second time because a new leader learns of an old failed attempt first. The
+/// task runs on another machine, which is isolated, while the machine of the failed attempt still reports the failure
+/// and is reconciled first.
 #[test]
 fn failure_reported_after_failover_does_not_start_a_running_task_again() {
     let mut simulation = Simulation::with_one_shard(3, [3, 0]);
@@ -154,26 +157,26 @@
     simulation.assert_no_violations();
 }
 
-/// Faults that hit the leader, and its successors while they reconcile.
+/// Faults that affect the leader, and its successors during reconciliation.
 #[derive(Clone, Copy, Debug)]
 enum RecoveryFaults {
-    /// All controllers crash during the failover, and the next leader after it.
+    /// All running controllers crash during the failover, and the next leader crashes after it.
     RepeatedCrashes,
-    /// All controllers crash during an outage, which refuses the restarted ones.
+    /// All controllers crash during an outage of the state service, which then refuses the restarted ones.
     CrashesInOutage,
     /// The leader is isolated for 21 s, after which all of its packets are delivered.
     DelayedPackets,
-    /// The leader is isolated, and restarts meanwhile.
+    /// The leader is isolated and restarts during the isolation.
     CrashDuringIsolation,
     /// Half of the machines are isolated when the leader crashes.
     IsolatedMachines,
-    /// Controllers cannot reach one another when the leader crashes.
+    /// No controller can reach another one when the leader crashes.
     ControllersPartitioned,
     /// The state service refuses the restarted leader.
     RefusedByStateService,
     /// The leader's calls arrive at the state service after its restart.
     DelayedStateCalls,
-    /// The leader goes on with half of the machines while jobs are cancelled through its successor.
+    /// The leader is isolated with half of the machines while its successor cancels jobs.
     IsolationWithMachines,
     /// Controllers restart one after another, as in a rolling update.
     RollingRestart,
@@ -262,7 +265,7 @@
     }
 }
 
-/// Adds arrays of the limited team, some of which fail or are cancelled.
+/// Adds job arrays of the team with a quota, some of which fail or are cancelled.
 fn add_jobs_that_fail_or_are_cancelled(simulation: &mut Simulation) {
     for id in 200..206 {
         let mut job = spec(id, JobKind::Array, "limited", 8, 2.0);
@@ -287,7 +290,7 @@
     }
 }
 
-/// Returns how many tasks are started from 6 s to 16 s after the beginning of an outage of the state service.
+/// Returns the number of tasks that are started from 6 s to 16 s after the beginning of an outage of the state service.
 fn starts_in_outage(mut simulation: Simulation) -> u64 {
     for id in 0..4 {
         simulation.add_user(spec(id, JobKind::Array, "free", 200, 2.0), 2 * SEC, 2 * SEC, None, false);
@@ -308,11 +311,11 @@
 fn tasks_are_started_in_an_outage_while_worker_leases_are_renewed() {
     let with = starts_in_outage(Simulation::with_one_shard(4, [6, 0]));
     let without = starts_in_outage(Simulation::with_one_shard_without(4, [6, 0], HOLD_ON));
-    assert!(with >= 100 && without == 0, "{with} starts with the property, {without} without it");
+    assert!(with >= 100 && without == 0, "{with} starts with {HOLD_ON}, {without} without it");
 }
 
-/// A controller that was started in an outage answers users at once, so that they know when to retry. A controller
-/// that alone cannot reach the state service leaves users to the others.
+/// A controller that starts during an outage of the state service reports ready, so that users reach it and are told
+/// when to retry. If the state service refuses only this controller, it reports not ready, so that users reach others.
 #[test]
 fn controller_started_in_an_outage_is_ready_unless_only_it_is_affected() {
     let readiness = |simulation: &mut Simulation, node: usize| {
@@ -324,24 +327,32 @@
         simulation.state_service.start_outage(now, 20 * SEC);
         simulation.run_until(now + 6 * SEC);
         simulation.crash_all(SEC);
-        // It may take some time until the cloud has answered with the machine types, without which no controller is
-        // ready.
+        // Leaves time for the cloud to answer with the machine types: no controller is ready without them.
         simulation.run_until(now + 18 * SEC);
         for node in 0..CONTROLLERS {
-            assert_eq!(readiness(&mut simulation, node), Some(200), "seed {seed}: controller {node} in the outage");
+            assert_eq!(
+                readiness(&mut simulation, node),
+                Some(200),
+                "seed {seed}: readiness of controller {node} during the outage"
+            );
         }
         // After the outage the state service refuses one controller, which restarts.
         simulation.state_service.refused_until[0] = now + 60 * SEC;
         simulation.run_until(now + 30 * SEC);
         simulation.crash(0, SEC);
         simulation.run_until(now + 36 * SEC);
-        assert_eq!(readiness(&mut simulation, 0), Some(503), "seed {seed}: the controller that is refused");
-        assert_eq!(readiness(&mut simulation, 1), Some(200), "seed {seed}: another controller");
+        assert_eq!(
+            readiness(&mut simulation, 0),
+            Some(503),
+            "seed {seed}: readiness of the controller that the state service refuses"
+        );
+        assert_eq!(readiness(&mut simulation, 1), Some(200), "seed {seed}: readiness of another controller");
         simulation.assert_no_violations();
     }
 }
 
-/// Returns how many machines are rented if the leader crashes at that time, when its first machines are booting.
+/// Returns the number of machines that are rented within 50 s. If `crash_at` is given, the leader crashes at that time,
+/// while its first machines are booting.
 fn machines_rented(seed: u64, crash_at: Option<u64>) -> u64 {
     let mut simulation = Simulation::with_one_shard(seed, [40, 40]);
     simulation.cloud.boot_time_factors = Some([Some(2.2), Some(2.2)]);
@@ -365,11 +376,12 @@
     let (without_crash, with_crash) = (rented(None), rented(Some(10 * SEC)));
     assert!(
         10 * with_crash <= 12 * without_crash,
-        "{with_crash} machines rented on eight days with a crash, {without_crash} without"
+        "{with_crash} machines rented in eight runs with a crash, {without_crash} without"
     );
 }
 
-/// Runs with two processes that have the same label; `same_address`: and the same address, which no network allows.
+/// Runs a scenario with two processes that have the same label by misconfiguration. With `same_address` they also have
+/// the same address, which no real network allows.
 fn run_with_duplicate_label(seed: u64, same_address: bool) -> Simulation {
     let mut simulation = Simulation::with_one_shard(seed, [12, 12]);
     simulation.relabel(1, "perch-1", "10.0.0.2:8080");
@@ -398,7 +410,7 @@
 fn two_processes_with_the_same_label_violate_no_rule() {
     for seed in 500..506 {
         run_with_duplicate_label(seed, false).assert_no_violations();
-        // Even if they take each other's terms for those of their former processes, and so for their own.
+        // With the same address each takes the other's term for the term of its own former process.
         run_with_duplicate_label(seed, true).assert_no_violations();
     }
 }
--- a/tests/safety_rules.rs
+++ b/tests/safety_rules.rs
@@ -1,4 +1,4 @@
-//! The safety rules hold under random faults, and the checker notices if a safeguard is missing.
+//! The safety rules under random faults. Runs with one safeguard disabled prove that the checker detects violations.
 
 mod simulation;
 
@@ -7,7 +7,7 @@
 use simulation::users::spec;
 use simulation::{DisabledSafeguard, Endpoint, FOREVER, LOSE_PACKETS, Rule, SEC, Simulation};
 
-/// Adds random services and arrays, which are submitted within `span`.
+/// Adds random services and job arrays, which are submitted at random times within `span` microseconds.
 fn add_jobs(simulation: &mut Simulation, count: u32, span: u64) {
     for id in 0..count {
         let service = simulation.rng.random_bool(0.3);
@@ -40,7 +40,7 @@
     }
 }
 
-/// Runs a day with faults at random times, followed by some minutes without faults.
+/// Runs a scenario of two minutes with faults at random times, followed by some minutes without faults.
 fn run_day(seed: u64, jobs: u32, faults: u32, disabled: DisabledSafeguard) -> Simulation {
     log_if_requested();
     let mut simulation = Simulation::new(seed, disabled);
@@ -51,7 +51,7 @@
     simulation
 }
 
-/// Logs what the controllers do, for example with `LOG_LEVEL=debug`.
+/// Writes the controllers' log if `LOG_LEVEL` is set, for example to `debug`.
 fn log_if_requested() {
     if std::env::var_os("LOG_LEVEL").is_some() {
         let env = env_logger::Env::new().filter("LOG_LEVEL");
@@ -59,7 +59,8 @@
     }
 }
 
-/// Runs a day and checks the rules, and that every job that was accepted and can be done is done.
+/// Runs a scenario and checks that no rule was violated, that every accepted job ended, and that all jobs but two at
+/// most were accepted.
 fn check_day(seed: u64, jobs: u32, faults: u32) {
     let simulation = run_day(seed, jobs, faults, DisabledSafeguard::None);
     simulation.assert_no_violations();
@@ -67,7 +68,8 @@
     simulation.assert_jobs_accepted_except(2);
 }
 
-/// Returns the seed, the jobs and the faults of a single day to run, as in `ONE_SEED=218 ONE_JOBS=20 ONE_FAULTS=30`.
+/// Returns the seed and the numbers of jobs and faults of a single scenario if the environment requests one, as in
+/// `ONE_SEED=218 ONE_JOBS=20 ONE_FAULTS=30`.
 fn requested_day() -> Option<(u64, u32, u32)> {
     let number = |name: &str| std::env::var(name).ok()?.parse::<u64>().ok();
     Some((number("ONE_SEED")?, number("ONE_JOBS")? as u32, number("ONE_FAULTS")? as u32))
@@ -112,15 +114,15 @@
     }
 }
 
-/// Seeds that once violated a rule.
+/// Regression test: scenarios in which a rule was violated before a fault was fixed.
 #[test]
 fn seeds_of_former_violations_pass() {
-    // After a failover the tasks of a job that had just been cancelled were still running on a machine that had not
-    // sent a heartbeat yet, and were not counted towards the team's quota.
+    // Quota exceeded: after a failover the tasks of a job that had just been cancelled still ran on a machine that had
+    // not sent a heartbeat yet, and were not counted towards the team's quota.
     run_day(10_018, 25, 11, DisabledSafeguard::None).assert_no_violations();
 }
 
-/// The same on far more days, to be run after changes that concern the rules.
+/// Checks the safety rules in 3,000 random scenarios. To be run by hand after changes that concern the rules.
 #[test]
 #[ignore = "takes minutes"]
 fn safety_rules_hold_on_thousands_of_days() {
@@ -135,11 +137,11 @@
         })
         .collect();
     for thread in threads {
-        assert!(thread.join().is_ok(), "a seed violated a rule");
+        assert!(thread.join().is_ok(), "a rule was violated; see the panic of the thread above");
     }
 }
 
-/// Whether one of the rules is violated on some day without a safeguard.
+/// Returns `true` if one of the rules is violated in at least one of 600 scenarios with the safeguard disabled.
 fn is_noticed(disabled: DisabledSafeguard, rules: &[Rule]) -> bool {
     (0..600).any(|seed| run_day(seed, 25, 10, disabled).violates(rules))
 }
@@ -155,7 +157,7 @@
     assert!(is_noticed(DisabledSafeguard::WorkerLeaseDuration, &[Rule::RanTwice]));
 }
 
-/// Isolates a controller together with all machines while their jobs are cancelled through its successor.
+/// Isolates the first controller together with all machines while their jobs are cancelled through another controller.
 fn cancel_during_isolation(seed: u64, disabled: DisabledSafeguard) -> Simulation {
     let mut simulation = Simulation::new(seed, disabled);
     for id in 0..6 {
--- a/tests/scheduling.rs
+++ b/tests/scheduling.rs
@@ -1,4 +1,4 @@
-//! Which tasks get room, which machines are rented for them, and what that costs the controllers.
+//! Scheduling: placement of tasks on machines, renting of machines, and the cost of heartbeats for the controllers.
 
 mod simulation;
 
@@ -6,8 +6,8 @@
 use simulation::users::spec;
 use simulation::{FOREVER, SEC, Simulation};
 
-/// Whether a job of a few large tasks is started within four minutes while small jobs of a team come all the time,
-/// which precede it in the job queue.
+/// Returns `true` if a job of two large tasks completes a task within four minutes while the same team keeps submitting
+/// small jobs that precede it in the job queue.
 fn large_job_starts(seed: u64, team: &str, cpus: f64) -> bool {
     let mut simulation = Simulation::with_one_shard(seed, [1, 0]);
     simulation.cloud.reliable = true;
@@ -22,19 +22,26 @@
     simulation.add_user(large, 5 * SEC, 20 * SEC, None, false);
     simulation.run_until(20 * SEC + 240 * SEC);
     simulation.assert_no_violations();
-    assert!(simulation.starts > 150, "seed {seed}: hardly any task was started");
+    assert!(simulation.starts > 150, "seed {seed}: only {} tasks were started", simulation.starts);
     simulation.completed_tasks_of(&id) > 0
 }
 
 #[test]
 fn large_jobs_start_within_four_minutes() {
     for seed in 0..3 {
-        assert!(large_job_starts(seed, "limited", 14.0), "seed {seed}: in a team that is at its quota");
-        assert!(large_job_starts(seed, "free", 14.0), "seed {seed}: beside small tasks on all machines");
+        assert!(
+            large_job_starts(seed, "limited", 14.0),
+            "seed {seed}: large job not started in a team that is at its quota"
+        );
+        assert!(
+            large_job_starts(seed, "free", 14.0),
+            "seed {seed}: large job not started beside small tasks on all machines"
+        );
     }
 }
 
-/// Returns how many steps the controllers take for a heartbeat in a fleet of the given size.
+/// Returns the mean number of steps that the controllers take for a worker heartbeat, in a fleet with `jobs` jobs and
+/// `stock` machines of each type in each zone.
 fn steps_per_heartbeat(jobs: u32, stock: usize) -> f64 {
     let mut simulation = Simulation::with_large_fleet(1, jobs, stock);
     simulation.run_until(25 * SEC);
@@ -42,7 +49,7 @@
     simulation.run_until(35 * SEC);
     let after = simulation.heartbeat_work();
     let heartbeats = after.heartbeats - before.heartbeats;
-    assert!(heartbeats > 100, "there is hardly any heartbeat");
+    assert!(heartbeats > 100, "only {heartbeats} heartbeats in 10 s");
     (after.steps - before.steps) as f64 / heartbeats as f64
 }
 
@@ -52,8 +59,8 @@
     assert!(large < 2.0 * small + 2.0, "{small:.1} steps per heartbeat in a small fleet, {large:.1} in a large one");
 }
 
-/// Rent requests for an unavailable machine type were once queued, one for each job, and counted as machines that are
-/// booting.
+/// Guards against tasks that wait for machines which the cloud cannot provide. Rent requests for an unavailable machine
+/// type were queued, one for each job, and counted as booting machines.
 #[test]
 fn unavailable_machine_types_are_not_waited_for() {
     let mut simulation = Simulation::with_one_shard(5, [20, 0]);
@@ -69,7 +76,7 @@
     assert!(slots >= 200, "room for {slots} of 480 tasks 12 s after they were submitted");
 }
 
-/// The users of the test of failing jobs, in the order in which they are added.
+/// Index ranges of the users of `failing_jobs_cost_little_and_quarantine_no_machine`, in the order of their addition.
 mod failing_jobs {
     use std::ops::Range;
 
@@ -78,8 +85,9 @@
     pub const CANCELLED: Range<usize> = 12..16;
 }
 
-/// Jobs that fail everywhere, because of a mistake in their submission, once ran on every machine and had more
-/// machines rented; where tasks of several such jobs failed, the machine was quarantined or returned.
+/// Guards against jobs that occupy the fleet although a mistake in their submission makes them fail everywhere. Such
+/// jobs were started on every machine and caused further machines to be rented, and a machine on which tasks of several
+/// such jobs failed was quarantined or deleted.
 #[test]
 fn failing_jobs_cost_little_and_quarantine_no_machine() {
     for seed in 40..44 {
@@ -101,7 +109,8 @@
     }
 }
 
-/// Failing tasks take no room from other jobs, even if a new leader does not know yet which tasks have failed.
+/// Checks that failing tasks take no room from other jobs, even while a new leader does not know yet which tasks have
+/// failed.
 fn check_sound_job_beside_failing_ones(simulation: &mut Simulation, seed: u64, starts: u64, rented: u64) {
     simulation.crash_all(SEC);
     simulation.add_user(spec(30, JobKind::Array, "free", 12, 1.0), SEC, 40 * SEC, None, false);
@@ -109,35 +118,40 @@
     let failing_starts = simulation.starts - starts - 12;
     let more_rented = simulation.cloud.rented - rented;
     let done = simulation.users.last().and_then(|user| user.done_at).map(|at| at / SEC);
-    assert!(done.is_some_and(|at| at < 56), "seed {seed}: the sound job was done at {done:?}");
+    assert!(done.is_some_and(|at| at < 56), "seed {seed}: the job that does not fail was done at second {done:?}");
     assert!(failing_starts <= 8 * 6, "seed {seed}: {failing_starts} starts of failing tasks in 35 s");
-    assert!(more_rented <= 6, "seed {seed}: {more_rented} machines rented meanwhile");
+    assert!(more_rented <= 6, "seed {seed}: {more_rented} machines rented in 35 s");
     let services = &simulation.users[failing_jobs::SERVICES];
     let running: usize = services.iter().map(|user| simulation.running_tasks_of(&user.spec.id)).sum();
     assert_eq!(running, 8, "seed {seed}: running services");
 }
 
-/// A job goes on once its mistake is corrected, and one that fails can be cancelled at once.
+/// Checks that a failing job completes once its mistake is corrected, and that a failing job can be cancelled at once.
 fn check_corrected_and_cancelled_jobs(simulation: &mut Simulation, seed: u64) {
     let now = simulation.now;
     simulation.users[failing_jobs::CORRECTED].iter_mut().for_each(|user| user.fails = false);
     simulation.users[failing_jobs::CANCELLED].iter_mut().for_each(|user| user.cancel_after = Some(0));
     simulation.run_until(now + 8 * SEC);
     let cancelled = &simulation.users[failing_jobs::CANCELLED];
-    assert!(cancelled.iter().all(|user| user.cancelled_at.is_some()), "seed {seed}: not cancelled");
+    assert!(
+        cancelled.iter().all(|user| user.cancelled_at.is_some()),
+        "seed {seed}: some failing jobs are not cancelled"
+    );
     simulation.run_until(now + 80 * SEC);
     let corrected = &simulation.users[failing_jobs::CORRECTED];
-    assert!(corrected.iter().all(|user| user.done_at.is_some()), "seed {seed}: not done");
+    assert!(corrected.iter().all(|user| user.done_at.is_some()), "seed {seed}: some corrected jobs are not done");
 }
 
-/// What became of one large job.
+/// Outcome of a scenario with one large job.
 struct LargeJob {
+    /// Time at which the user was told that the job is done, in seconds.
     done_at_s: Option<u64>,
-    /// How many machines were rented for the job.
+    /// Number of machines that were rented for the job.
     rented: u64,
 }
 
-/// Runs one large job while boot times in the two zones are multiplied by the factors.
+/// Runs one large job while the boot times of machines are multiplied by a factor for each of the two zones; with
+/// `None` no machine of the zone boots.
 fn run_large_job(seed: u64, boot_time_factors: [Option<f64>; 2]) -> LargeJob {
     let mut simulation = Simulation::with_one_shard(seed, [30, 30]);
     simulation.cloud.reliable = true;
@@ -150,8 +164,9 @@
     LargeJob { done_at_s: simulation.users[0].done_at.map(|at| at / SEC), rented: simulation.cloud.rented }
 }
 
-/// Machines that booted late were once returned shortly before they were up, and rented again, and so on. If machines
-/// of a zone do not boot, those of the other zone are used. Some machines are up before the cloud lists them.
+/// Guards against machines that are repeatedly deleted shortly before they are up and rented again, because they boot
+/// later than usual. If the machines of one zone do not boot, those of the other zone have to be used. Machines that
+/// boot very fast are up before the cloud lists them.
 #[test]
 fn unusual_boot_times_delay_jobs_little() {
     for seed in 60..63 {
@@ -184,20 +199,21 @@
     }
 }
 
-/// Returns a best-effort job of a class without an objective.
+/// Returns a best-effort job of a class without a service-level objective.
 fn best_effort_job(id: u32, team: &str, tasks: u32, cpus: f64) -> JobSpec {
     let mut job = spec(id, JobKind::Array, team, tasks, cpus);
     (job.class, job.priority, job.spot) = (Name::new("scan"), Priority::BestEffort, true);
     job
 }
 
-/// Ordinary machines were once rented for a best-effort job without an objective when there was no spot machine left.
+/// Guards against ordinary machines that are rented for a best-effort job without an objective because no spot machine
+/// is left.
 #[test]
 fn best_effort_jobs_wait_for_spot_machines() {
     let mut simulation = Simulation::with_one_shard(70, [20, 1]);
     simulation.cloud.reliable = true;
     simulation.add_user(best_effort_job(1, "free", 60, 2.0), 400 * SEC, 3 * SEC, None, false);
-    // A job with an objective gets what it needs.
+    // Ordinary machines are still rented for a job with an objective.
     simulation.add_user(spec(2, JobKind::Array, "free", 4, 2.0), 400 * SEC, 4 * SEC, None, false);
     simulation.run_until(60 * SEC);
     simulation.assert_no_violations();
@@ -205,7 +221,8 @@
     assert!((1..=4).contains(&ordinary), "{ordinary} ordinary machines were rented");
 }
 
-/// Without any spot machine, ordinary ones are rented soon enough for a start within four minutes.
+/// Guards against best-effort jobs that never start because the cloud has no spot machines: ordinary machines have to
+/// be rented early enough for the job to be done within four minutes.
 #[test]
 fn best_effort_jobs_start_eventually_without_spot_machines() {
     let mut simulation = Simulation::with_one_shard(71, [20, 0]);
@@ -218,7 +235,7 @@
     assert!(simulation.users[0].done_at.is_some(), "the job was not done");
 }
 
-/// The team that came first once kept all idle room until its jobs were done.
+/// Guards against a team that keeps all idle room until its jobs are done because it submitted them first.
 #[test]
 fn teams_without_quota_share_idle_room() {
     let mut simulation = Simulation::with_one_shard(72, [2, 2]);
@@ -235,5 +252,8 @@
     simulation.assert_no_violations();
     let after = completed(&simulation);
     let (first, second) = (after[0] - before[0], after[1] - before[1]);
-    assert!(first > 50 && 2 * second > first && 2 * first > second, "{first} and {second} tasks in 40 s");
+    assert!(
+        first > 50 && 2 * second > first && 2 * first > second,
+        "{first} and {second} tasks of the two teams completed in 40 s"
+    );
 }
