--- a/tests/digests.rs
+++ b/tests/digests.rs
@@ -1,7 +1,7 @@
-//! Digests of all events and actions of whole simulated days.
+//! Digests of all events and actions in simulated scenarios.
 //!
-//! A change that only renames or moves code must leave every digest as it is. A change of behaviour updates the digests
-//! and says so in its commit.
+//! A change that only renames or moves code must leave every digest unchanged. A change of behaviour updates the
+//! digests and says so in its commit message.
 
 mod simulation;
 
@@ -11,7 +11,7 @@
 use simulation::users::spec;
 use simulation::{DisabledSafeguard, FOREVER, MS, SEC, Simulation};
 
-/// Adds arrays, services and dependent jobs of several teams, some of which are cancelled.
+/// Adds job arrays, services and dependent jobs of two teams, some of which are cancelled.
 fn add_jobs(simulation: &mut Simulation, count: u32) {
     for id in 0..count {
         let service = simulation.rng.random_bool(0.25);
@@ -36,7 +36,7 @@
     }
 }
 
-/// Returns the digest of a day with that many random faults.
+/// Runs a scenario with `faults` random faults and returns its digest.
 fn digest_of(mut simulation: Simulation, faults: u32) -> String {
     simulation.digest = Some(TraceDigest::default());
     add_jobs(&mut simulation, 16);
@@ -50,7 +50,7 @@
     simulation.digest.as_ref().expect("the digest was set above").finish()
 }
 
-/// The digests, in the order in which the test creates the days.
+/// Expected digests, one for each scenario, in the order of the scenarios.
 const EXPECTED: [&str; 19] = [
     "43da80f895ed4bd077f909220fd9964e",
     "1c5854c96b7670a92d48e52c5ef02756",
@@ -90,7 +90,7 @@
         let digest = digest_of(simulation, faults);
         println!("{name}: {digest}");
         if digest != expected {
-            differ.push(format!("{name}: {digest}, not {expected}"));
+            differ.push(format!("{name}: digest {digest}, expected {expected}"));
         }
     }
     assert!(differ.is_empty(), "{differ:#?}");
--- a/tests/forecasts.rs
+++ b/tests/forecasts.rs
@@ -1,4 +1,4 @@
-//! Forecasts: what is learned despite faults, what survives a failover, and that scheduling does not suffer.
+//! Forecasts: accuracy despite faults, snapshots across failovers, and no negative effect on scheduling.
 
 mod simulation;
 
@@ -8,16 +8,16 @@
 use simulation::users::spec;
 use simulation::{CONTROLLERS, DELAY_PACKETS, Endpoint, SEC, Simulation, TemporaryFault};
 
-/// The prefix of the keys of snapshots.
+/// Prefix of the keys under which snapshots are stored.
 const SNAPSHOT_PREFIX: &str = "forecast/";
 
-/// Returns an array of the free team whose owner estimates that a task takes so many seconds.
+/// Returns a job array of the team without a quota, whose owner estimates that a task takes `estimate_s` seconds.
 fn array(id: u32, tasks: u32, estimate_s: f64) -> JobSpec {
     JobSpec { estimate_s, ..spec(id, JobKind::Array, "free", tasks, 1.0) }
 }
 
-/// Adds jobs with 6 tasks of 8 s, which are submitted within `span` and estimated to take 24 s, and a large one of the
-/// same kind. Returns the large one.
+/// Adds `jobs` jobs with 6 tasks of 8 s, which are submitted within `span` microseconds and whose owners estimate 24 s
+/// for a task, and then a job of 1,000 such tasks. Returns the id of the large job.
 fn add_jobs(simulation: &mut Simulation, jobs: u32, span: u64) -> JobId {
     for id in 0..jobs {
         let submit_at = 2 * SEC + simulation.rng.random_range(0..span);
@@ -29,7 +29,7 @@
     id
 }
 
-/// Returns the forecast of a job by the leader of its shard.
+/// Returns the leader's forecast of a job, parsed from its reply.
 fn forecast_of(simulation: &mut Simulation, job: &JobId) -> serde_json::Value {
     let leader = simulation.current_leader();
     let reply = simulation.forecast_reply(leader, job).expect("the leader has the job in memory");
@@ -37,12 +37,12 @@
     serde_json::from_str(&reply.body).expect("JSON")
 }
 
-/// Returns a JSON number.
+/// Returns the value of a JSON number; panics if the value is none.
 fn number(value: &serde_json::Value) -> f64 {
     value.as_f64().unwrap_or_else(|| panic!("{value} is not a number"))
 }
 
-/// Returns how many attempts the stored snapshot covers.
+/// Returns the number of attempts that the stored snapshot covers, 0 without a snapshot.
 fn attempts_in_snapshot(simulation: &Simulation) -> u64 {
     let text = simulation.state_service.get("forecast/0").and_then(|value| value["snapshot"].as_str());
     text.map_or(0, |text| snapshot::read(text).expect("the snapshot is valid").attempts())
@@ -80,8 +80,8 @@
     }
 }
 
-/// Attempts that end because their machine hung or a controller crashed look short. None of them may count as a run
-/// time.
+/// Guards against run times that are estimated too short: an attempt that ends because its machine hung or a controller
+/// crashed appears short, and must not count as an observed run time.
 #[test]
 fn faults_do_not_shorten_estimated_run_times() {
     for seed in 0..12 {
@@ -117,19 +117,19 @@
         let job = add_jobs(&mut simulation, 30, 50 * SEC);
         simulation.run_until(70 * SEC);
         let before = attempts_in_snapshot(&simulation);
-        assert!(before > 60, "seed {seed}: {before} attempts are in the snapshot");
+        assert!(before > 60, "seed {seed}: the snapshot covers only {before} attempts");
         let leader = simulation.current_leader();
         simulation.crash(leader, 3 * SEC);
         simulation.run_until(83 * SEC);
         let forecast = forecast_of(&mut simulation, &job);
         let middle = number(&forecast["task"]["middle_s"]);
         assert!((7.0..10.0).contains(&middle), "seed {seed}: {forecast}");
-        // The successor has made a promise too.
+        // The successor has made a promise of its own.
         assert!(number(&forecast["promise"]["by_s"]) > 0.0, "seed {seed}: {forecast}");
         simulation.run_until(95 * SEC);
         assert!(
             attempts_in_snapshot(&simulation) >= before,
-            "seed {seed}: {} attempts after {before}",
+            "seed {seed}: the snapshot covers {} attempts, {before} before the failover",
             attempts_in_snapshot(&simulation)
         );
         simulation.assert_no_violations();
@@ -167,14 +167,14 @@
     };
     let (usual, _) = run(false);
     let (refused, simulation) = run(true);
-    // Retried after 10 s, 20 s, 40 s and so on, by each of the controllers that may have led the shard.
+    // Each controller that has led the shard retries after 10 s, 20 s, 40 s and so on.
     let tries = simulation.state_service.refused_prefix_requests;
-    assert!((1..=8).contains(&tries), "{tries} requests in 200 s");
-    assert!(refused < usual + usual / 10, "jobs took {refused} us, without the refusals {usual} us");
+    assert!((1..=8).contains(&tries), "{tries} attempts to write a snapshot in 200 s");
+    assert!(refused < usual + usual / 10, "jobs took {refused} us on average, without the refusals {usual} us");
     assert!(attempts_in_snapshot(&simulation) > 200, "no snapshot was stored afterwards");
 }
 
-/// The forecasts of many jobs are computed some at a time; each job still gets one.
+/// Guards against jobs that never get a forecast because forecasts are computed in batches.
 #[test]
 fn every_job_among_hundreds_gets_a_forecast() {
     let mut simulation = Simulation::with_forecasts(600, true, [4, 4]);
@@ -190,8 +190,8 @@
     let replies =
         live.iter().filter_map(|job| simulation.forecast_reply(leader, job)).filter(|reply| reply.status == 200);
     let with_forecast = replies.filter(|reply| reply.body.contains("middle_s")).count();
-    // Some jobs are done whose users have not been told yet.
-    assert!(with_forecast + 30 > live.len(), "{with_forecast} of {} have a forecast", live.len());
+    // Up to 30 jobs may be done whose users have not been told yet.
+    assert!(with_forecast + 30 > live.len(), "{with_forecast} of {} live jobs have a forecast", live.len());
 }
 
 #[test]
@@ -204,17 +204,18 @@
     let finish = &forecast["finish"];
     assert!(number(&finish["low_s"]) <= number(&finish["middle_s"]));
     assert!(number(&finish["middle_s"]) <= number(&finish["high_s"]));
-    // Other controllers ask the leader, and read the records if no controller knows the job.
+    // A controller that does not lead the shard does not answer at once: it forwards the request to the leader, or
+    // reads the records if no controller knows the job.
     let other = (0..CONTROLLERS).find(|node| Some(*node) != simulation.leader(0)).expect("there are three controllers");
     assert_eq!(simulation.forecast_reply(other, &job), None);
     let unknown = JobId::new("wk-999999");
     assert_eq!(simulation.forecast_reply(other, &unknown), None);
-    // The reply for a job that is over contains its state.
+    // The reply for a job that has ended contains its state.
     simulation.run_until(200 * SEC);
     let leader = simulation.current_leader();
     let reply = simulation.forecast_reply(leader, &job).expect("the leader remembers the job");
     assert!(reply.status == 200 && reply.body.contains("done"), "{reply:?}");
-    // Without forecasts the request is unknown.
+    // With forecasts disabled the request is unknown.
     let mut without = Simulation::with_one_shard(500, [4, 4]);
     without.run_until(10 * SEC);
     assert_eq!(without.forecast_reply(0, &job).map(|reply| reply.status), Some(404));
--- a/tests/job_dependencies.rs
+++ b/tests/job_dependencies.rs
@@ -1,5 +1,5 @@
-//! Jobs with prerequisites under all faults: no job starts before its prerequisites are done, none is called live after a
-//! prerequisite was cancelled, and waiting jobs hold no room.
+//! Jobs with prerequisites under all faults: no job starts before its prerequisites are done, none is reported as live
+//! after a prerequisite was cancelled, and waiting jobs reserve no resources.
 
 mod simulation;
 
@@ -13,11 +13,12 @@
     CANCELLATION_BOUND, CONTROLLERS, DisabledSafeguard, Endpoint, FOREVER, LOSE_PACKETS, MS, Rule, SEC, Simulation,
 };
 
-/// The limits that the platform's file announces as the next ones, for values and transactions.
+/// Limits of the state service that take effect during a run. Those on values and transactions are the ones that the
+/// settings file announces as the next limits.
 const LOWERED_LIMITS: RequestLimits =
     RequestLimits { value_bytes: 2048, changes_per_transaction: 4, writes_per_second: 60 };
 
-/// Adds an array with random properties and returns its user.
+/// Adds a job array with random properties and returns the index of its user.
 fn add_random_job(simulation: &mut Simulation, id: u32, prerequisites: &[usize], cancel_after: Option<u64>) -> usize {
     let team = if simulation.rng.random_bool(0.4) { "limited" } else { "free" };
     let tasks = simulation.rng.random_range(1..9);
@@ -32,7 +33,8 @@
     user
 }
 
-/// Adds pipelines that are chains, diamonds, or random graphs; some of their jobs are cancelled.
+/// Adds `count` pipelines: chains, graphs that fan out from one job and join in another, and random graphs. Some of
+/// their jobs are cancelled.
 fn add_pipelines(simulation: &mut Simulation, count: u32) {
     let mut id = 0;
     for pipeline in 0..count {
@@ -52,8 +54,8 @@
     }
 }
 
-/// Runs a day with pipelines and faults, in the middle of which the state service's limits are lowered, followed by
-/// some minutes without faults.
+/// Runs a scenario of 90 s with pipelines and faults, in the middle of which the state service's limits are lowered,
+/// followed by some minutes without faults.
 fn run_day(seed: u64, one_shard: bool, faults: u32, disabled: DisabledSafeguard) -> Simulation {
     let mut simulation = if one_shard && disabled == DisabledSafeguard::None {
         Simulation::with_one_shard(seed, [5, 5])
@@ -71,7 +73,7 @@
     simulation
 }
 
-/// Checks that no rule was violated and that no transaction was too large.
+/// Checks that no rule was violated and that the state service rejected no transaction for its size.
 fn assert_no_violations(simulation: &Simulation) {
     simulation.assert_no_violations();
     simulation.assert_nothing_rejected_for_size();
@@ -112,11 +114,11 @@
         })
         .collect();
     for thread in threads {
-        assert!(thread.join().is_ok(), "a seed violated a rule");
+        assert!(thread.join().is_ok(), "a rule was violated; see the panic of the thread above");
     }
 }
 
-/// Whether one of the rules is violated on some day without a safeguard.
+/// Returns `true` if one of the rules is violated in at least one of 20 scenarios with the safeguard disabled.
 fn is_noticed(disabled: DisabledSafeguard, rules: &[Rule]) -> bool {
     (0..20).any(|seed| run_day(seed, false, 4, disabled).violates(rules))
 }
@@ -132,19 +134,19 @@
     assert!(is_noticed(DisabledSafeguard::CancellationRecords, &rules));
 }
 
-/// Returns a job of the free team with one task.
+/// Returns a job with one task, of the team without a quota.
 fn small_job(id: u32) -> JobSpec {
     spec(id, JobKind::Array, "free", 1, 2.0)
 }
 
-/// Adds a job without prerequisites that runs for long and is cancelled, and returns its user.
+/// Adds a job without prerequisites that would run for 400 s and is cancelled earlier. Returns the index of its user.
 fn add_cancelled_root(simulation: &mut Simulation, cancel_after: u64) -> usize {
     let job = spec(0, JobKind::Array, "free", 2, 2.0);
     simulation.add_dependent_job(job, &[], 400 * SEC, 2 * SEC, Some(cancel_after))
 }
 
-/// A thousand jobs that all depend on one, or each on the one before it. Recursion, a request for each job, and
-/// transactions beyond the limits would fail here.
+/// Guards against a stack overflow by recursion over dependents, one request for each dependent, and transactions
+/// beyond the state service's limits. A thousand jobs either all depend on one job, or each on the one before it.
 #[test]
 fn cancelling_a_job_cancels_a_thousand_dependents_at_once() {
     for (seed, is_fan) in [(1, true), (2, false)] {
@@ -165,12 +167,18 @@
         let bound = cancelled_at + CANCELLATION_BOUND;
         let dependents = simulation.users.iter().filter(|user| user.accepted_at.is_some_and(|at| at < cancelled_at));
         let late = dependents.clone().filter(|user| user.cancelled_at.is_none_or(|at| at > bound)).count();
-        assert_eq!(late, 0, "seed {seed}: {late} of {} users were not told in time", dependents.count());
+        assert_eq!(
+            late,
+            0,
+            "seed {seed}: {late} of {} users were not told of the cancellation in time",
+            dependents.count()
+        );
     }
 }
 
-/// Right after a user was told that a job is cancelled, every controller says the same of a job that depends on it over
-/// many others, even a controller that reaches nothing but the state service.
+/// Guards against controllers that contradict one another. As soon as a user has been told that a job is cancelled,
+/// every controller has to report an indirect dependent of it, at the end of a chain of twelve jobs, as cancelled, even
+/// a controller that cannot reach the others and has to read the records.
 #[test]
 fn every_controller_calls_an_indirect_dependent_cancelled() {
     for seed in 0..6 {
@@ -194,14 +202,14 @@
             let reply = simulation.request(node, ClientRequest::Poll(id.clone()), 2 * SEC);
             let reply = reply.unwrap_or_else(|| panic!("seed {seed}: controller {node} does not answer"));
             let body: serde_json::Value = serde_json::from_str(&reply.body).unwrap_or_default();
-            assert_eq!(body["mood"], "withdrawn", "seed {seed}: controller {node} says {}", reply.body);
+            assert_eq!(body["mood"], "withdrawn", "seed {seed}: controller {node} answers {}", reply.body);
         }
         assert_no_violations(&simulation);
     }
 }
 
-/// A submission is rejected if one of its prerequisites is unknown, a service, or the job itself. A retry of an
-/// accepted submission is answered without looking at the prerequisites.
+/// A submission is rejected if one of its prerequisites is unknown, a service, or the job itself. The retry of a
+/// submission that was accepted is answered without checking the prerequisites again.
 #[test]
 fn prerequisites_are_checked_before_a_job_is_accepted() {
     let mut simulation = Simulation::with_one_shard(3, [3, 3]);
@@ -221,7 +229,7 @@
             let reply = submit(node, id, prerequisite);
             assert_eq!(reply.status, status, "controller {node}, {id} after {prerequisite}: {}", reply.body);
         }
-        // The retry differs, but the job was accepted before.
+        // The retry names another prerequisite, but the job has been accepted already.
         let retry = submit(node, id + 3, unknown);
         assert_eq!(retry.status, 200, "controller {node}: {}", retry.body);
         let dependent = submit(node, id + 4, id + 3);
@@ -230,8 +238,8 @@
     assert_no_violations(&simulation);
 }
 
-/// Prerequisites that exceed the limits on values and transactions are kept completely, through a failover and with
-/// lowered limits.
+/// Guards against the loss of prerequisites when they exceed the limits on values and transactions. They are divided
+/// into several part records, which have to be complete after a failover and with lowered limits.
 #[test]
 fn hundreds_of_prerequisites_survive_a_failover() {
     for (seed, is_cancelled) in [(1, false), (2, true)] {
@@ -251,7 +259,7 @@
         let has_part = |simulation: &Simulation, part: u32| {
             simulation.state_service.get(&format!("part/wk-000900/{part}")).is_some()
         };
-        assert!(has_part(&simulation, 4), "seed {seed}: the prerequisites are not distributed over several records");
+        assert!(has_part(&simulation, 4), "seed {seed}: the prerequisites are not divided into several part records");
         let leader = simulation.current_leader();
         simulation.crash(leader, 3 * SEC);
         simulation.run_until(80 * SEC);
@@ -261,12 +269,12 @@
         let user = &simulation.users[last];
         let (is_done, has_been_cancelled) = (user.done_at.is_some(), user.cancelled_at.is_some());
         assert_eq!((is_done, has_been_cancelled), (!is_cancelled, is_cancelled), "seed {seed}: done, cancelled");
-        assert!(!has_part(&simulation, 0), "seed {seed}: records of the prerequisites remain");
+        assert!(!has_part(&simulation, 0), "seed {seed}: part records remain after the job has ended");
     }
 }
 
-/// Values may have to be smaller than announced: a transaction that was rejected for its size is not sent again as it
-/// was, and the job is done nevertheless.
+/// Guards against endless retries when the state service's limit on values is lower than announced. A transaction that
+/// was rejected for its size must not be sent again unchanged, and the job has to be done nevertheless.
 #[test]
 fn transactions_rejected_for_their_size_are_not_repeated() {
     let mut simulation = Simulation::with_one_shard(1, [4, 4]);
@@ -282,7 +290,7 @@
     assert!((1..4).contains(&rejected.len()), "rejected for size: {rejected:?}");
 }
 
-/// Records and messages of the version in production can be read.
+/// Checks that records and messages written by the version in production can be read.
 fn check_records_in_production() {
     let fixture: serde_json::Value = serde_json::from_str(include_str!("fixtures/production.json")).expect("JSON");
     let records = fixture["records"].as_object().expect("records by key");
@@ -300,12 +308,12 @@
     }
 }
 
-/// This version and the one in production read each other's records.
+/// Guards against an upgrade after which this version and the one in production cannot read each other's records.
 #[test]
 fn records_are_compatible_with_the_version_in_production() {
     check_records_in_production();
-    // The other version sees a waiting job in a shard without a leader, so that the job is not loaded, and finds the
-    // fields that it needs to answer the user.
+    // The version in production does not know waiting jobs. The record of such a job names a shard that never has a
+    // leader, so that a controller of that version does not load the job, and has the fields it needs to answer polls.
     let mut simulation = Simulation::with_one_shard(1, [2, 2]);
     let root = simulation.add_dependent_job(small_job(1), &[], 300 * SEC, 2 * SEC, None);
     simulation.add_dependent_job(small_job(2), &[root], SEC, 2 * SEC, None);
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -1,5 +1,5 @@
-//! A fleet of about 4,000 machines: no fixed limit is below that, and the safety rules hold on a day with a failover and
-//! an outage of the state service.
+//! A fleet of about 4,000 machines: no fixed limit of the transport or the protocols is too low for it, and the safety
+//! rules hold in a scenario with a failover and an outage of the state service.
 
 mod simulation;
 
@@ -21,18 +21,20 @@
 use std::net::{Ipv4Addr, SocketAddrV4, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-/// The smallest number of machines that the fleet has.
+/// Minimum number of machines of the fleet.
 const FLEET: usize = 4_000;
-/// The number of machines for which every limit must leave room.
+/// Number of machines that every limit has to allow.
 const HEADROOM: usize = 12_000;
-/// The largest frame that versions without paged heartbeats read.
+/// Size in bytes of the largest frame that versions without paged heartbeats accept.
 const OLDEST_FRAME: usize = 1024 * 1024;
 
-/// A machine id of 100 bytes, the longest that heartbeats may have.
+/// Returns a machine id of 100 bytes, the maximum length of a machine id in a heartbeat.
 fn long_id(number: usize) -> MachineId {
     MachineId::new(&format!("machine-{number:092}"))
 }
 
+/// Returns a heartbeat between controllers that names the given machines, and whose other fields are as large as they
+/// may get in practice.
 fn heartbeat_of(rented: Vec<(MachineId, ShardId)>, spare: Vec<MachineOffer>) -> Envelope {
     let shards: Vec<(ShardId, Revision)> = (0..1000).map(|at| (ShardId(at), Revision(u64::MAX))).collect();
     let message = PeerMessage::Heartbeat {
@@ -61,11 +63,19 @@
     };
     let spare: Vec<MachineOffer> = (0..HEADROOM).map(offer).collect();
     let whole = peers::encode(&heartbeat_of(rented.clone(), spare.clone()));
-    assert!(whole.len() > MAX_FRAME, "the test proves nothing: everything fits into one frame");
+    assert!(
+        whole.len() > MAX_FRAME,
+        "the whole heartbeat fits into one frame, so that this test does not exercise paging"
+    );
     let (mut rented_seen, mut spare_seen) = (BTreeSet::new(), BTreeSet::new());
     let mut heartbeats = 0;
     while rented_seen.len() < HEADROOM || spare_seen.len() < HEADROOM {
-        assert!(heartbeats < 10, "only {} rented and {} idle machines were named", rented_seen.len(), spare_seen.len());
+        assert!(
+            heartbeats < 10,
+            "only {} rented and {} spare machines were named in 10 heartbeats",
+            rented_seen.len(),
+            spare_seen.len()
+        );
         let rented_page = peer_heartbeat_pages::rented_page(rented.clone(), heartbeats);
         let spare_page = peer_heartbeat_pages::spare_page(spare.clone(), heartbeats);
         rented_seen.extend(rented_page.iter().map(|(machine, _)| machine.clone()));
@@ -103,14 +113,15 @@
     (event_loop, transport)
 }
 
-/// All workers connect to a new leader while it is busy.
+/// Guards against refused connections when all workers connect to a new leader at once. The transport does not accept
+/// connections while the leader is busy, so that they have to wait in the listen queue.
 #[test]
 fn connections_wait_to_be_accepted() {
     let system: usize = std::fs::read_to_string("/proc/sys/net/core/somaxconn")
         .ok()
         .and_then(|text| text.trim().parse().ok())
         .unwrap_or(usize::MAX);
-    // The number of files that a process may open is 1,024 in many places.
+    // Many systems limit a process to 1,024 open files.
     let crowd = 900.min(system);
     let (_event_loop, mut transport) = transport(2000);
     let addr = SocketAddrV4::new(Ipv4Addr::LOCALHOST, free_port());
@@ -122,7 +133,8 @@
     }
 }
 
-/// Heartbeats of a whole fleet are relayed to a controller that pauses for a moment.
+/// Guards against lost frames when the worker heartbeats of a whole fleet are relayed to a controller that does not
+/// read for a moment.
 #[test]
 fn a_peer_that_does_not_read_for_a_moment_loses_nothing() {
     const FRAMES: usize = 9;
@@ -152,7 +164,9 @@
     assert_eq!(reader.join().unwrap(), 0, "bytes were lost");
 }
 
-/// What a replica has missed during an outage comes in one response of any size: the state service keeps 10,000 changes.
+/// Guards against a watch that can't resume after an outage. The state service keeps 10,000 changes and sends all that
+/// a controller has missed in one response, which may be larger than the transport accepts. The controller then has to
+/// list the records again, as after a compaction.
 #[test]
 fn a_watch_response_that_is_too_large_is_answered_as_compacted() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -180,7 +194,7 @@
         transport.clock();
         transport.expire();
         match transport.next_event() {
-            Some(NetEvent::Answer { response, .. }) => break response.expect("the caller gets no response"),
+            Some(NetEvent::Answer { response, .. }) => break response.expect("a response to the watch call"),
             Some(other) => panic!("{other:?}"),
             None => {}
         }
@@ -188,7 +202,7 @@
     assert_eq!(call.answer(answer.status, &answer.body), Ok(StateAnswer::Compacted));
 }
 
-/// More workers than a controller has sockets: each is answered.
+/// Guards against clients without an answer when more workers are connected than the controller may open sockets.
 #[test]
 fn more_clients_than_sockets_are_answered_in_turn() {
     const CLIENTS: usize = 200;
@@ -203,7 +217,7 @@
             let mut answer = [0; 4096];
             let sent = stream.write_all(b"GET /up HTTP/1.1\r\n\r\n");
             let count = sent.and_then(|()| stream.read(&mut answer)).unwrap_or(0);
-            assert!(answer[..count].starts_with(b"HTTP/1.1 200 "), "client {at} has no answer");
+            assert!(answer[..count].starts_with(b"HTTP/1.1 200 "), "client {at} got no answer");
             kept.push(stream);
         }
     });
@@ -219,7 +233,8 @@
     clients.join().unwrap();
 }
 
-/// Answers requests on any connection. Returns how many connections are open when nothing has arrived for a second.
+/// Answers at least `calls` requests on any number of connections. Returns the number of connections that are still
+/// open when no request has arrived for a second.
 fn serve_workers(listener: &TcpListener, calls: usize) -> usize {
     listener.set_nonblocking(true).unwrap();
     let mut open: Vec<TcpStream> = Vec::new();
@@ -244,7 +259,8 @@
     open.len()
 }
 
-/// After a failover every machine is called; its connection must not be kept while all the others are called.
+/// Guards against sockets that run out after a failover. The new leader calls every machine, and must not keep the
+/// connections to machines that have answered while it calls the others.
 #[test]
 fn calling_every_machine_leaves_few_connections() {
     const MACHINES: u8 = 200;
@@ -276,10 +292,11 @@
     }
     let open = workers.join().unwrap();
     assert_eq!(answered, MACHINES);
-    assert!(open <= MAX_SOCKETS / 4, "{open} connections are open");
+    assert!(open <= MAX_SOCKETS / 4, "{open} connections are still open after all calls");
 }
 
-/// The list of a large fleet has more pages than the cloud allows calls at once.
+/// Guards against a list of machines that never completes, because it has more pages than the cloud's rate limit allows
+/// calls in a burst.
 #[test]
 fn a_list_of_many_pages_is_read_to_its_end() {
     const CALLS_A_SECOND: f64 = 5.0;
@@ -303,12 +320,13 @@
     }
     run_until(&mut simulation, 60 * SEC);
     let (lists, refused) = (simulation.cloud.complete_lists, simulation.cloud.calls_over_limit);
-    assert!(lists >= 4, "{lists} whole lists were read, {refused} calls refused");
+    assert!(lists >= 4, "{lists} lists were read completely, {refused} calls were refused");
     assert!(simulation.users.iter().all(|user| user.done_at.is_some()), "some jobs were not reported as done");
 }
 
-/// A cloud and a state service of the size that such a fleet needs, and one job for each 500 machines.
-fn large_fleet(seed: u64, run: u64) -> Simulation {
+/// Returns a simulation whose cloud and state service are sized for such a fleet, with eight jobs of 520 tasks. Each
+/// task runs for `run_time` microseconds.
+fn large_fleet(seed: u64, run_time: u64) -> Simulation {
     let mut simulation = Simulation::with_disabled_safeguard(seed, DisabledSafeguard::None, [1100, 1100], "");
     for settings in &mut simulation.settings {
         settings.state_rps = 2000.0;
@@ -320,31 +338,32 @@
         RequestLimits { value_bytes: 4096, changes_per_transaction: 8, writes_per_second: 1600 };
     simulation.cloud.reliable = true;
     for id in 0..8 {
-        // One task fills a machine.
+        // Each task needs a machine of its own.
         let mut job = spec(id, JobKind::Array, "free", 520, 16.0);
         job.spot = true;
-        simulation.add_user(job, run, 3 * SEC, None, false);
+        simulation.add_user(job, run_time, 3 * SEC, None, false);
     }
     simulation
 }
 
+/// Runs the simulation until `end`, checks the rules and prints the progress.
 fn run_until(simulation: &mut Simulation, end: u64) {
     simulation.run_until(end);
     simulation.assert_no_violations();
     println!(
-        "{} s: {} machines, {} tasks run",
+        "{} s: {} machines, {} running tasks",
         simulation.now / SEC,
         simulation.workers.len(),
         simulation.running_tasks()
     );
 }
 
-/// Runs until the given number of machines are at work.
-fn grow(simulation: &mut Simulation, machines: usize) {
-    while simulation.running_tasks() < machines {
+/// Runs until at least `tasks` tasks are running, which need one machine each.
+fn grow(simulation: &mut Simulation, tasks: usize) {
+    while simulation.running_tasks() < tasks {
         assert!(
             simulation.now < 400 * SEC,
-            "only {} of {} machines are at work",
+            "only {} tasks are running on {} machines",
             simulation.running_tasks(),
             simulation.workers.len()
         );
@@ -367,11 +386,11 @@
     println!("leadership acquired {} ms after the crash", (simulation.now - crashed) / MS);
     let settled = simulation.now + 20 * SEC;
     run_until(&mut simulation, settled);
-    assert!(simulation.running_tasks() >= FLEET, "{} tasks run after the failover", simulation.running_tasks());
+    assert!(simulation.running_tasks() >= FLEET, "{} tasks are running after the failover", simulation.running_tasks());
     let outage = simulation.now;
     simulation.state_service.start_outage(outage, 15 * SEC);
     run_until(&mut simulation, outage + 20 * SEC);
-    assert!(simulation.running_tasks() >= FLEET, "{} tasks run after the outage", simulation.running_tasks());
+    assert!(simulation.running_tasks() >= FLEET, "{} tasks are running after the outage", simulation.running_tasks());
     while simulation.users.iter().any(|user| user.done_at.is_none()) {
         assert!(simulation.now < 600 * SEC, "some jobs were not reported as done");
         let next = simulation.now + 10 * SEC;
@@ -380,11 +399,12 @@
     println!("{} starts of {} tasks", simulation.starts, simulation.completed.len());
     assert!(
         simulation.starts <= simulation.completed.len() as u64 + FLEET as u64 / 100,
-        "{} starts",
-        simulation.starts
+        "{} starts of {} tasks",
+        simulation.starts,
+        simulation.completed.len()
     );
     while !simulation.workers.is_empty() {
-        assert!(simulation.now < 900 * SEC, "{} machines were not returned", simulation.workers.len());
+        assert!(simulation.now < 900 * SEC, "{} machines were not deleted", simulation.workers.len());
         let next = simulation.now + 10 * SEC;
         run_until(&mut simulation, next);
     }
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -1,4 +1,4 @@
-//! An overload ends with its cause: once the faults are over, every user of an accepted job is answered.
+//! Overload: once its cause is over, every user of an accepted job is answered again.
 
 mod simulation;
 
@@ -7,12 +7,12 @@
 use simulation::users::spec;
 use simulation::{FOREVER, SEC, Simulation};
 
-/// How many requests a second the state service of the tests' platform file executes.
+/// Requests per second that the state service executes, as the settings of the simulation's controllers say.
 const STATE_REQUESTS_PER_SECOND: f64 = 120.0;
-/// How many changes a second it executes.
+/// Changes per second that the state service executes.
 const STATE_WRITES_PER_SECOND: usize = 30;
 
-/// Returns a cluster whose state service keeps to its limit on requests.
+/// Returns a cluster whose state service enforces its limit on requests per second.
 fn cluster_with_request_limit(seed: u64) -> Simulation {
     let mut simulation = Simulation::with_one_shard(seed, [40, 40]);
     simulation.cloud.reliable = true;
@@ -22,7 +22,8 @@
     simulation
 }
 
-/// Submissions that the state service can't record in time must not use up the requests that leases and reads need.
+/// Guards against an overload that outlasts its cause. Submissions come faster than the state service can record them,
+/// also after an outage of 20 s, and must not use up the requests that lease keep-alives and reads need.
 #[test]
 fn polls_are_answered_while_more_jobs_are_submitted_than_can_be_recorded() {
     for seed in 0..2 {
