--- a/tests/compatibility/main.rs
+++ b/tests/compatibility/main.rs
@@ -1,8 +1,8 @@
-//! Rolling upgrades: this version reads what earlier versions wrote, and writes the same bytes, so that they read
-//! what this version writes.
+//! Compatibility during rolling upgrades: this version reads what earlier versions wrote, and writes the same bytes, so
+//! that earlier versions can read what this version writes.
 //!
 //! `fixtures/version_68b31c0.json` was written by the version in production, `fixtures/version_34920fc.json` by the
-//! last version before identifiers were renamed, both from the values in `samples`. A record is kept as the text
+//! last version before identifiers were renamed, both from the values in `samples`. A record is stored as the text
 //! of its JSON value, a message between controllers as its CBOR bytes in hexadecimal.
 
 mod recoveries;
@@ -22,7 +22,7 @@
 const PRODUCTION: &str = include_str!("../fixtures/version_68b31c0.json");
 const BEFORE_RENAMES: &str = include_str!("../fixtures/version_34920fc.json");
 
-/// What an earlier version wrote, by the name of the sample.
+/// Output of an earlier version for the samples, by the name of the sample.
 #[derive(Deserialize)]
 struct Fixture {
     records: BTreeMap<String, String>,
@@ -36,50 +36,55 @@
 
 impl Fixture {
     fn parse(text: &str) -> Fixture {
-        serde_json::from_str(text).expect("a fixture")
+        serde_json::from_str(text).expect("the fixture is valid")
     }
 
-    /// Fails if a part of the fixture was not compared with anything.
+    /// Panics if an entry of the fixture was not compared with a sample.
     fn assert_all_compared(&self) {
         let left = [&self.records, &self.messages, &self.views, &self.requests, &self.replies];
         let left: Vec<&String> = left.iter().flat_map(|part| part.keys()).collect();
-        assert!(left.is_empty(), "no sample for {left:?}");
+        assert!(left.is_empty(), "entries of the fixture without a sample: {left:?}");
     }
 }
 
+/// Removes an entry from a part of the fixture and returns it.
 fn take(part: &mut BTreeMap<String, String>, name: &str) -> String {
-    part.remove(name).unwrap_or_else(|| panic!("{name}: not in the fixture"))
+    part.remove(name).unwrap_or_else(|| panic!("sample {name} has no entry in the fixture"))
 }
 
-/// Compares each sample with what the earlier version wrote for it.
+/// Compares each sample with the output of the earlier version.
 impl SampleVisitor for Fixture {
     fn record<T: Serialize + DeserializeOwned + PartialEq + Debug>(&mut self, key: &str, record: T) {
         let written = take(&mut self.records, key);
-        assert_eq!(serde_json::from_str::<T>(&written).expect(key), record, "{key} is read");
-        assert_eq!(to_value(&record).to_string(), written, "{key} is written");
+        assert_eq!(serde_json::from_str::<T>(&written).expect(key), record, "{key}: value read from the fixture");
+        assert_eq!(to_value(&record).to_string(), written, "{key}: text written");
     }
 
     fn message(&mut self, name: &str, message: PeerMessage) {
         let written = take(&mut self.messages, name);
         let envelope = envelope(message);
-        assert_eq!(peers::decode(&from_hex(&written)).as_ref(), Some(&envelope), "{name} is read");
-        assert_eq!(to_hex(&peers::encode(&envelope)), written, "{name} is written");
+        assert_eq!(
+            peers::decode(&from_hex(&written)).as_ref(),
+            Some(&envelope),
+            "{name}: message read from the fixture"
+        );
+        assert_eq!(to_hex(&peers::encode(&envelope)), written, "{name}: bytes written");
     }
 
     fn view<T: Serialize + DeserializeOwned + PartialEq + Debug>(&mut self, name: &str, view: T) {
         let written = take(&mut self.views, name);
-        assert_eq!(serde_json::from_str::<T>(&written).expect(name), view, "{name} is read");
-        assert_eq!(Reply::json(200, &view).body, written, "{name} is written");
+        assert_eq!(serde_json::from_str::<T>(&written).expect(name), view, "{name}: value read from the fixture");
+        assert_eq!(Reply::json(200, &view).body, written, "{name}: text written");
     }
 
     fn request(&mut self, name: &str, request: Outgoing) {
         let body = request.body.map_or("-".into(), |body| String::from_utf8(body).expect("text"));
         let sent = format!("{} {} {body}", request.method, request.path);
-        assert_eq!(sent, take(&mut self.requests, name), "{name}");
+        assert_eq!(sent, take(&mut self.requests, name), "{name}: request sent");
     }
 
     fn reply(&mut self, name: &str, reply: Reply) {
-        assert_eq!(reply_text(&reply), take(&mut self.replies, name), "{name}");
+        assert_eq!(reply_text(&reply), take(&mut self.replies, name), "{name}: reply sent");
     }
 }
 
@@ -111,13 +116,13 @@
 #[test]
 fn the_version_in_production_is_read_and_written_byte_for_byte() {
     let mut fixture = Fixture::parse(PRODUCTION);
-    // The one message that has grown since; see the next test.
+    // The heartbeat between controllers has one more field now; the next test compares it.
     fixture.messages.remove("Beat").expect("a heartbeat");
     samples::visit_common(&mut fixture);
     fixture.assert_all_compared();
 }
 
-/// The heartbeat has got one field more at its end, which the version in production passes over.
+/// The heartbeat between controllers has one more field at its end, which the version in production ignores.
 #[test]
 fn the_heartbeat_of_the_version_in_production_is_ours_without_the_last_field() {
     let theirs = Fixture::parse(PRODUCTION).messages["Beat"].clone();
--- a/tests/compatibility/recoveries.rs
+++ b/tests/compatibility/recoveries.rs
@@ -1,4 +1,4 @@
-//! The field names of `GET /v1/recoveries`, from a controller that leads shards.
+//! Field names in the reply to `GET /v1/recoveries` of a controller that leads shards.
 
 use crowstall::config::Settings;
 use crowstall::coordination::{Action, ClientRequestId, Clock, Controller, Event};
@@ -44,7 +44,7 @@
 const TICK: Span = Span::millis(100);
 const REQUEST: ClientRequestId = ClientRequestId(1);
 
-/// An empty state service that accepts every transaction.
+/// Simulated state service without records, which accepts every transaction.
 struct AcceptingState {
     revision: u64,
 }
@@ -67,7 +67,7 @@
     }
 }
 
-/// The body of the answer after a controller has run on its own for half a minute.
+/// Returns the body of the reply after a controller has run on its own for half a minute.
 fn recoveries_of_a_lone_controller() -> serde_json::Value {
     let settings = Settings::parse(SETTINGS, None).unwrap_or_else(|error| panic!("{}", error));
     let mut now = START;
--- a/tests/compatibility/samples.rs
+++ b/tests/compatibility/samples.rs
@@ -1,5 +1,5 @@
-//! One value of every stored record, every message between controllers and every body that users, workers and the
-//! outside services see. The fixtures hold what earlier versions wrote for exactly these values.
+//! Sample values of every stored record, every message between controllers and every body that users, workers, the
+//! state service and the cloud receive. The fixtures contain the output of earlier versions for exactly these values.
 
 use crowstall::model::*;
 use crowstall::protocol::cloud::CloudCall;
@@ -21,21 +21,21 @@
 use serde::de::DeserializeOwned;
 use std::fmt::Debug;
 
-/// What is done with each sample.
+/// Operation on each sample, with one method for each kind of sample.
 pub trait SampleVisitor {
-    /// A record of the state service.
+    /// Visits a record of the state service.
     fn record<T: Serialize + DeserializeOwned + PartialEq + Debug>(&mut self, key: &str, record: T);
-    /// A message to another controller.
+    /// Visits a message to another controller.
     fn message(&mut self, name: &str, message: PeerMessage);
-    /// A body that users and operators read.
+    /// Visits the body of a reply to users and operators.
     fn view<T: Serialize + DeserializeOwned + PartialEq + Debug>(&mut self, name: &str, view: T);
-    /// A request to the cloud, a worker or the state service.
+    /// Visits a request to the cloud, a worker or the state service.
     fn request(&mut self, name: &str, request: crowstall::protocol::Outgoing);
-    /// A reply to a user or a worker.
+    /// Visits a reply to a user or a worker.
     fn reply(&mut self, name: &str, reply: Reply);
 }
 
-/// A job that leaves out whatever may be left out.
+/// Returns a job without any of the optional fields.
 fn plain_job() -> JobSpec {
     JobSpec {
         id: JobId::new("wk-000001"),
@@ -60,7 +60,7 @@
     }
 }
 
-/// A job that uses every field which earlier versions know.
+/// Returns a job that uses every field that the version in production knows.
 fn full_job() -> JobSpec {
     JobSpec {
         id: JobId::new("wk-000412"),
@@ -135,7 +135,7 @@
     TaskId { job: JobId::new("wk-000412"), task: TaskIndex(task) }
 }
 
-/// What the version in production knows as well.
+/// Visits the samples that the version in production knows.
 pub fn visit_common(visitor: &mut impl SampleVisitor) {
     visit_common_records(visitor);
     visit_common_messages(visitor);
@@ -173,7 +173,7 @@
     visitor.record("forecast", records::ForecastRecord { snapshot: "Q0YB3RCdy62O".into() });
 }
 
-/// The heartbeat between controllers, with what the version in production tells in it.
+/// Returns the heartbeat between controllers with the fields that the version in production sends.
 pub fn peer_heartbeat() -> PeerMessage {
     PeerMessage::Heartbeat {
         holds_lease: true,
@@ -218,7 +218,7 @@
     visitor.message("Moved", PeerMessage::Moved { machine, shard: ShardId(0) });
 }
 
-/// A job view with what the version in production shows in it.
+/// Returns a job view with the fields that the version in production sends.
 fn job_view(state: JobState) -> JobView {
     JobView {
         id: JobId::new("wk-000412"),
@@ -328,7 +328,7 @@
         .request("worker.commands", WorkerCall { token: FencingToken(41), epoch: AgentEpoch(3), commands }.request());
 }
 
-/// What the version in production does not know: jobs that wait for others.
+/// Visits the samples that the version in production does not know: those about jobs that wait for prerequisites.
 pub fn visit_waiting_jobs(visitor: &mut impl SampleVisitor) {
     let prerequisites = vec![JobId::new("wk-000003"), JobId::new("wk-000007")];
     let waiting = JobSpec { prerequisites: prerequisites.clone(), ..full_job() };
@@ -356,7 +356,7 @@
     );
 }
 
-/// The heartbeat between controllers as this version writes it.
+/// Returns the heartbeat between controllers as this version sends it.
 fn peer_heartbeat_of_this_version() -> PeerMessage {
     let mut heartbeat = peer_heartbeat();
     if let PeerMessage::Heartbeat { message_version, .. } = &mut heartbeat {
@@ -365,7 +365,7 @@
     heartbeat
 }
 
-/// Requests of users that are refused, or are not requests at all, as method, path and body.
+/// Returns method, path and body of invalid requests, which are rejected.
 pub fn refused_requests() -> Vec<(&'static str, &'static str, String)> {
     let mut requests = vec![
         ("GET", "/hello", String::new()),
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! Reading and validation of the settings file and of the operators' properties.
+//! Parsing and validation of the settings file and of the properties files of the operators.
 
 use crowstall::config::{ConfigError, ForecastProperties, Properties, RecoveryProperties, Settings, StandbyProperties};
 use crowstall::model::{Name, NodeIndex};
@@ -43,22 +43,22 @@
 max_sockets = 100
 "#;
 
-/// The settings file with one part of its text replaced.
+/// Parses the settings file with one part of its text replaced.
 fn with_replaced(from: &str, to: &str) -> Result<Settings, ConfigError> {
     Settings::parse(&SETTINGS.replacen(from, to, 1), None)
 }
 
-/// The settings file with announced limits of the state service.
+/// Parses the settings file with announced next limits of the state service.
 fn with_announced_limits(fields: &str) -> Result<Settings, ConfigError> {
     with_replaced("[facts.cloud]", &format!("[facts.state.next]\n{fields}\n[facts.cloud]"))
 }
 
-/// The operators' properties that a properties file comes to.
+/// Returns the properties that a properties file sets, with defaults for all others.
 fn properties(text: &str) -> Result<Properties, ConfigError> {
     Settings::parse(SETTINGS, Some(text)).map(|settings| settings.properties)
 }
 
-/// The message for a properties file that is refused.
+/// Returns the error message for an invalid properties file.
 fn properties_error(text: &str) -> String {
     properties(text).unwrap_err().to_string()
 }
@@ -67,7 +67,7 @@
 fn settings_are_validated() {
     let settings = Settings::parse(SETTINGS, None).unwrap();
     assert_eq!((settings.me, settings.nodes.len()), (NodeIndex(1), 2));
-    assert!(!settings.teams[&Name::new("t")].is_limited(), "0 is no limit");
+    assert!(!settings.teams[&Name::new("t")].is_limited(), "cpus_max = 0 means no quota");
     let broken = [
         ("lease_s = 10.0", "lease_s = -1.0", "lease_s"),
         ("cancel_s = 30.0", "cancel_s = 12.0", "facts.workers.cancel_s: must be longer than facts.workers.lease_s"),
@@ -84,7 +84,8 @@
     }
 }
 
-/// Announced limits are kept to from the start, field by field; the rate of writes once a write was refused.
+/// Announced next limits of the state service that are stricter than the present ones apply at once, field by field.
+/// The announced rate of writes applies only after a write was refused.
 #[test]
 fn announced_limits_of_the_state_service_apply_at_once() {
     let stricter = with_announced_limits("txn_ops = 4\nvalue_kb = 1.5\nwrite_rps = 5.0").unwrap();
@@ -131,7 +132,8 @@
     }
 }
 
-/// Each property takes effect, both ends of its range are accepted, and what lies beyond them is refused.
+/// Each property takes effect, both ends of its range are accepted, and values that are out of range or not numbers are
+/// rejected.
 #[test]
 fn every_property_has_a_range() {
     let ranges = [
@@ -184,7 +186,7 @@
     assert_eq!(defaults.standby, StandbyProperties::default());
 }
 
-/// Operators search for these messages, so they stay as they are.
+/// Operators search for these messages, so they must not change.
 #[test]
 fn messages_name_the_property() {
     let messages = [
@@ -197,7 +199,7 @@
             "standby.enabled = true\nstandby.tells.ms = 4001",
             "property standby.tells.ms: longer than a claim lives (claim.life.ms)",
         ),
-        // Of several errors the first one by key is shown, whichever group the keys are of.
+        // Of several invalid properties the first one in the order of keys is reported, regardless of their groups.
         ("standby.x = 1\nrecovery.asks = 0\nfleet-x = 1\nforecast.x = 1", "property fleet-x: no such property"),
         ("standby.x = 1\nshards.x = 1\nforecast.x = 1", "property forecast.x: no such property"),
     ];
@@ -220,7 +222,7 @@
     assert!(matches!(field, ConfigError::InvalidField { field, .. } if field == "facts.size"));
 }
 
-/// A file of this test run that is removed at the end.
+/// Temporary file of this process, which is deleted when the value is dropped.
 struct TemporaryFile(PathBuf);
 
 impl TemporaryFile {
--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -1,4 +1,4 @@
-//! Runs a controller process on loopback sockets with malformed input, invalid settings and unreachable services.
+//! Controller processes on loopback sockets: malformed input, invalid settings and unreachable services.
 
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -6,18 +6,18 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// How long a process may take to listen, and a socket to answer.
+/// Maximum time until a process listens and until a socket answers.
 const TIMEOUT: Duration = Duration::from_secs(20);
-/// More connections than the settings of the controller allow.
+/// Number of connections that exceeds the `max_sockets` of the controller's settings.
 const EXCESS_CONNECTIONS: usize = 80;
 
-/// A running controller; it is killed and its settings are removed when this is dropped.
+/// Running controller process. When the value is dropped, the process is killed and its settings file is deleted.
 struct ControllerProcess {
     child: Child,
     settings: PathBuf,
-    /// The port for users and workers.
+    /// Port for users and workers.
     front_port: u16,
-    /// The port for other controllers.
+    /// Port for other controllers.
     peer_port: u16,
 }
 
@@ -58,7 +58,7 @@
     let controller = ControllerProcess { child, settings: path, front_port, peer_port };
     let deadline = Instant::now() + TIMEOUT;
     while TcpStream::connect(("127.0.0.1", front_port)).is_err() {
-        assert!(Instant::now() < deadline, "the controller does not listen");
+        assert!(Instant::now() < deadline, "the controller does not listen after {TIMEOUT:?}");
         std::thread::sleep(Duration::from_millis(20));
     }
     controller
@@ -70,7 +70,7 @@
     stream
 }
 
-/// Sends bytes and reads the head and body of one answer.
+/// Sends bytes and returns the head and body of one response, or what was received if the stream ends earlier.
 fn exchange(stream: &mut TcpStream, bytes: &[u8]) -> String {
     stream.write_all(bytes).unwrap();
     let mut answer = Vec::new();
@@ -90,7 +90,7 @@
     }
 }
 
-/// Asserts that invalid requests are answered with an error and leave the connection open.
+/// Asserts that requests which can't be served are answered with an error and leave the connection open.
 fn assert_refused(stream: &mut TcpStream) {
     for (request, status) in [
         ("GET /nowhere HTTP/1.1\r\n\r\n", "404"),
@@ -98,7 +98,7 @@
         ("GET /v1/jobs/else HTTP/1.1\r\n\r\n", "404"),
         ("POST /v1/jobs HTTP/1.1\r\nContent-Length: 2\r\n\r\n[]", "400"),
         ("POST /hello HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}", "400"),
-        // Without the state service it is unknown whether the job exists, and no leadership can be acquired.
+        // Without the state service the controller can't know whether the job exists and can't acquire leadership.
         ("GET /v1/jobs/wk-1 HTTP/1.1\r\n\r\n", "503"),
         ("GET /up HTTP/1.1\r\n\r\n", "503"),
     ] {
@@ -108,7 +108,7 @@
     }
 }
 
-/// Asserts that the connection is closed after input that leaves it unknown where the next request begins.
+/// Asserts that the connection is closed after input which leaves the start of the next request undetermined.
 fn assert_refused_and_closed(front_port: u16) {
     for (bytes, status) in [
         (&b"\x16\x03\x01 garbage\r\n\r\n"[..], "400"),
@@ -117,7 +117,7 @@
         let mut stream = connect(front_port);
         let answer = exchange(&mut stream, bytes);
         assert!(answer.starts_with(&format!("HTTP/1.1 {status} ")) && answer.contains("Connection: close"), "{answer}");
-        assert_eq!(stream.read(&mut [0; 16]).unwrap_or(0), 0, "closed");
+        assert_eq!(stream.read(&mut [0; 16]).unwrap_or(0), 0, "the connection is still open");
     }
 }
 
@@ -137,13 +137,13 @@
     assert_refused(&mut open_connection);
     assert_refused_and_closed(front_port);
     let _peer_connection = send_malformed_peer_message(controller.peer_port);
-    // Open connections are still served if there are more connections than sockets.
+    // A connection that is open already is still served when clients open more connections than the limit allows.
     let excess: Vec<TcpStream> =
         (0..EXCESS_CONNECTIONS).filter_map(|_| TcpStream::connect(("127.0.0.1", front_port)).ok()).collect();
     let answer = exchange(&mut open_connection, b"GET /nowhere HTTP/1.1\r\n\r\n");
     assert!(answer.starts_with("HTTP/1.1 404 "), "{answer}");
     drop(excess);
-    assert!(controller.child.try_wait().unwrap().is_none(), "the controller has exited");
+    assert!(controller.child.try_wait().unwrap().is_none(), "the controller process has exited");
 }
 
 #[test]
--- a/tests/protocol.rs
+++ b/tests/protocol.rs
@@ -1,4 +1,5 @@
-//! Parsing of requests and of other services' answers, valid and malformed.
+//! Parsing of valid and malformed requests from users, workers and controllers, and of the state service's and the
+//! cloud's answers.
 
 use crowstall::model::*;
 use crowstall::protocol::CallError;
@@ -27,7 +28,7 @@
 
 #[test]
 fn a_submission_is_parsed() {
-    let ClientRequest::Submit(Ok(spec)) = submit(&submission()) else { panic!("refused") };
+    let ClientRequest::Submit(Ok(spec)) = submit(&submission()) else { panic!("the submission was rejected") };
     assert_eq!((spec.id.as_str(), spec.class.as_str(), spec.team.as_str()), ("wk-000412", "train", "vision"));
     assert_eq!((spec.kind, spec.priority, spec.tasks), (JobKind::Array, Priority::High, 16));
     assert_eq!(spec.needs.cpus, Quantity::new(8.0));
@@ -44,18 +45,18 @@
         assert!(matches!(submit(&body), ClientRequest::Submit(Ok(spec)) if spec.prerequisites.is_empty()));
     }
     body["awaits"] = json!(["wk-000007", "wk-000003", "wk-000007"]);
-    let ClientRequest::Submit(Ok(spec)) = submit(&body) else { panic!("refused") };
+    let ClientRequest::Submit(Ok(spec)) = submit(&body) else { panic!("the submission was rejected") };
     assert_eq!(spec.prerequisites, [JobId::new("wk-000003"), JobId::new("wk-000007")]);
 }
 
-/// A newer version may send messages that this one does not know.
+/// Guards rolling upgrades: a newer version may send messages that this version does not know.
 #[test]
 fn unknown_peer_messages_are_dropped() {
     let known = peers::Envelope {
         from: NodeLabel::new("perch-1"),
         message: peers::PeerMessage::Released { shard: ShardId(1) },
     };
-    let mut value = ciborium::value::Value::serialized(&known).expect("it can be written");
+    let mut value = ciborium::value::Value::serialized(&known).expect("the message can be serialized");
     let rename_message = |value: &mut ciborium::value::Value, name: &str| {
         let fields = value.as_map_mut().expect("a map");
         let message = fields.iter_mut().find(|(key, _)| key.as_text() == Some("message")).expect("a message");
@@ -63,7 +64,7 @@
     };
     let write = |value: &ciborium::value::Value| {
         let mut bytes = Vec::new();
-        ciborium::into_writer(value, &mut bytes).expect("it can be written");
+        ciborium::into_writer(value, &mut bytes).expect("the message can be serialized");
         bytes
     };
     assert_eq!(peers::decode(&write(&value)), Some(known));
@@ -111,12 +112,12 @@
     for field in ["brood", "gait", "pecking", "clutch", "cores", "gpus", "plumage", "flight_s", "together"] {
         let mut body = submission();
         body.as_object_mut().unwrap().remove(field);
-        assert!(matches!(submit(&body), ClientRequest::Submit(Err(_))), "{field} missing");
+        assert!(matches!(submit(&body), ClientRequest::Submit(Err(_))), "{field} missing, although it is required");
     }
     for field in ["breeds", "roost", "dusk_s"] {
         let mut body = submission();
         body.as_object_mut().unwrap().remove(field);
-        assert!(matches!(submit(&body), ClientRequest::Submit(Ok(_))), "{field} may be missing");
+        assert!(matches!(submit(&body), ClientRequest::Submit(Ok(_))), "{field} missing, although it is optional");
     }
 }
 
@@ -161,7 +162,7 @@
                   {"egg":"wk-000398/0","hatch":1,"mood":"ended","cause":"done"},
                   {"egg":"wk-000398/1","hatch":u64::MAX,"mood":"ended","cause":"unheard-of"}]});
     let ClientRequest::WorkerHeartbeat(heartbeat) = parse("POST", "/hello", body.to_string().as_bytes()) else {
-        panic!("refused")
+        panic!("the heartbeat was rejected")
     };
     assert_eq!(
         (heartbeat.epoch, heartbeat.seq, heartbeat.token),
@@ -200,7 +201,7 @@
     let delete = LogEntry::Delete { key: "live/b".into(), version: Revision(432) };
     assert_eq!(watch.answer(200, log), Ok(StateAnswer::Changes { log: vec![set, delete], revision: Revision(433) }));
     assert_eq!(watch.answer(410, b""), Ok(StateAnswer::Compacted));
-    // A change of an unknown kind must not be skipped.
+    // A log entry of an unknown kind is an error: skipping it would lose a change.
     assert_eq!(watch.answer(200, br#"{"tally":1,"log":[{"odd":"a","molt":1}]}"#), Err(CallError::Unexpected(200)));
 }
 
@@ -220,10 +221,12 @@
     for end in 0..length {
         assert_eq!(parse_request(&wire[..end]), Ok(Parsed::Partial), "{end}");
     }
-    let Ok(Parsed::Complete(request, used)) = parse_request(wire) else { panic!("not whole") };
+    let Ok(Parsed::Complete(request, used)) = parse_request(wire) else { panic!("the request is not complete") };
     assert_eq!((request.body.as_slice(), used, request.close), (&b"abcd"[..], length, false));
     let chunked = b"POST /hello HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n";
-    let Ok(Parsed::Complete(request, used)) = parse_request(chunked) else { panic!("not whole") };
+    let Ok(Parsed::Complete(request, used)) = parse_request(chunked) else {
+        panic!("the chunked request is not complete")
+    };
     assert_eq!((request.body.as_slice(), used), (&b"abcde"[..], chunked.len()));
     let broken = [
         (&b"\x16\x03\x01\x02\x00\x01\x00\r\n\r\n"[..], ParseError::Malformed),
@@ -271,7 +274,7 @@
         read += usize::from(list.answer(200, &bytes).is_ok());
         read += usize::from(CloudCall::Catalog.answer(200, &bytes).is_ok());
     }
-    assert!(read > 1000, "at least the unchanged inputs are parsed: {read}");
+    assert!(read > 1000, "only {read} inputs were parsed, although some are unchanged");
 }
 
 #[test]
--- a/tests/storage.rs
+++ b/tests/storage.rs
@@ -1,4 +1,4 @@
-//! Keys, the division of long records, the rate limiter and the accounting of writes.
+//! Keys of records, division of prerequisites into part records, the rate limiter, and the accounting of writes.
 
 use crowstall::model::{JobId, MachineId, ShardId};
 use crowstall::protocol::state::Change;
@@ -11,6 +11,7 @@
 
 const START: Time = Time(0);
 
+/// Returns the time `seconds` after `START`.
 fn after(seconds: f64) -> Time {
     START + Span::secs(seconds)
 }
@@ -77,7 +78,7 @@
     assert!(limiter.is_filled_beyond(START, -1.0, 0.0) && !limiter.is_filled_to(START, 0.0));
     limiter.take_on_credit(START, 100.0);
     assert!(!limiter.is_filled_beyond(START, -1.0, 0.0));
-    // Two bursts of debt, of which one is paid back after half a second.
+    // The debt is limited to two bursts (10 tokens), of which one (5 tokens) is paid back after half a second.
     assert!(!limiter.is_filled_beyond(after(0.49), -1.0, 0.0));
     assert!(limiter.is_filled_beyond(after(0.51), -1.0, 0.0));
 }
--- a/tests/transport.rs
+++ b/tests/transport.rs
@@ -1,5 +1,5 @@
-//! The transport on real loopback sockets: pooled connections to services, replies at the front and frames between
-//! controllers.
+//! The transport on real loopback sockets: pooled connections to services, requests of users and workers at the front
+//! listener, and frames between controllers.
 
 use calloop::EventLoop;
 use crowstall::time::Span;
@@ -10,16 +10,19 @@
 use std::time::{Duration, Instant};
 
 const MAX_SOCKETS: usize = 64;
-/// The front connections that `MAX_SOCKETS` leaves room for.
+/// Number of front connections that `MAX_SOCKETS` allows.
 const MAX_FRONT_CONNECTIONS: usize = 40;
 const MAX_CONNECTIONS_PER_SERVICE: usize = 8;
+/// Timeout of calls that must not expire during a test.
 const LONG: Span = Span::millis(60_000);
+/// Maximum time that one turn of the event loop waits for events.
 const TURN: Duration = Duration::from_millis(5);
-/// The shortest time between two attempts to connect to a peer.
+/// Minimum time between two attempts to connect to a peer.
 const REDIAL_INTERVAL: Duration = Duration::from_millis(400);
+/// Maximum time that a test waits for an expected event.
 const DEADLINE: Duration = Duration::from_secs(20);
 
-/// A transport on an event loop of its own.
+/// Transport with its own event loop.
 struct Harness {
     event_loop: EventLoop<'static, Transport>,
     transport: Transport,
@@ -33,25 +36,26 @@
         Harness { event_loop, transport }
     }
 
+    /// Runs the event loop once and expires calls and connections.
     fn turn(&mut self) {
         self.event_loop.dispatch(Some(TURN), &mut self.transport).unwrap();
         self.transport.clock();
         self.transport.expire();
     }
 
-    /// Runs the event loop until something has arrived.
+    /// Runs the event loop until the transport reports an event, and returns it.
     fn next_event(&mut self) -> NetEvent {
         let deadline = Instant::now() + DEADLINE;
         loop {
             if let Some(event) = self.transport.next_event() {
                 return event;
             }
-            assert!(Instant::now() < deadline, "nothing arrives");
+            assert!(Instant::now() < deadline, "no event within {DEADLINE:?}");
             self.turn();
         }
     }
 
-    /// Runs the event loop for a while, in which nothing may arrive.
+    /// Runs the event loop for 20 turns and fails if the transport reports an event.
     fn expect_silence(&mut self) {
         for _ in 0..20 {
             self.turn();
@@ -59,35 +63,38 @@
         }
     }
 
+    /// Sends a GET request to a service.
     fn get(&mut self, call: u64, target: SocketAddrV4, timeout: Span) {
         let request = OutgoingRequest { method: "GET", path: "/x", body: None };
         self.transport.call(CallId(call), target, &request, timeout);
     }
 
-    /// Runs the event loop until a call is answered; returns the call and the body of the response.
+    /// Runs the event loop until a call ends. Returns the call and the body of the response, or `None` without a
+    /// response.
     fn next_answer(&mut self) -> (u64, Option<Vec<u8>>) {
         match self.next_event() {
             NetEvent::Answer { call, response } => (call.0, response.map(|response| response.body)),
-            other => panic!("no answer: {other:?}"),
+            other => panic!("expected the end of a call, got {other:?}"),
         }
     }
 
-    /// Runs the event loop until a request arrives; returns its id and path.
+    /// Runs the event loop until a request arrives. Returns its id and path.
     fn next_request(&mut self) -> (RequestId, String) {
         match self.next_event() {
             NetEvent::Request { id, request } => (id, request.path),
-            other => panic!("no request: {other:?}"),
+            other => panic!("expected a request, got {other:?}"),
         }
     }
 
+    /// Runs the event loop until a frame arrives, and returns its content.
     fn next_frame(&mut self) -> Vec<u8> {
         match self.next_event() {
             NetEvent::Frame(bytes) => bytes,
-            other => panic!("no frame: {other:?}"),
+            other => panic!("expected a frame, got {other:?}"),
         }
     }
 
-    /// Runs the event loop until a connection is waiting at a listener.
+    /// Runs the event loop until a connection arrives at the listener, and accepts it.
     fn accept(&mut self, listener: &TcpListener) -> TcpStream {
         let deadline = Instant::now() + DEADLINE;
         loop {
@@ -95,12 +102,12 @@
                 stream.set_nonblocking(true).unwrap();
                 return stream;
             }
-            assert!(Instant::now() < deadline, "no connection arrives");
+            assert!(Instant::now() < deadline, "no connection within {DEADLINE:?}");
             self.turn();
         }
     }
 
-    /// Runs the event loop until a stream has brought this many bytes or is closed.
+    /// Runs the event loop until `count` bytes have been read from the stream or the stream is closed.
     fn read(&mut self, stream: &mut TcpStream, count: usize) -> Vec<u8> {
         stream.set_nonblocking(true).unwrap();
         let deadline = Instant::now() + DEADLINE;
@@ -113,17 +120,19 @@
                 Err(error) if error.kind() == std::io::ErrorKind::ConnectionReset => return bytes,
                 Err(_) => self.turn(),
             }
-            assert!(Instant::now() < deadline, "only {} bytes arrive", bytes.len());
+            assert!(Instant::now() < deadline, "only {} of {count} bytes within {DEADLINE:?}", bytes.len());
         }
         bytes
     }
 
+    /// Reads from the stream the request that [`Harness::get`] sends to `target`.
     fn read_request(&mut self, stream: &mut TcpStream, target: SocketAddrV4) {
         let expected =
             format!("GET /x HTTP/1.1\r\nHost: {target}\r\nContent-Type: application/json\r\nContent-Length: 0\r\n\r\n");
         assert_eq!(String::from_utf8(self.read(stream, expected.len())).unwrap(), expected);
     }
 
+    /// Returns `true` if the transport closes the stream, `false` if it sends a byte; panics if neither happens.
     fn is_closed(&mut self, stream: &mut TcpStream) -> bool {
         self.read(stream, 1).is_empty()
     }
@@ -133,11 +142,11 @@
     SocketAddrV4::new(Ipv4Addr::LOCALHOST, port)
 }
 
-/// A service that is played by the test itself.
+/// Returns a listener that acts as a service, and its address.
 fn listen() -> (TcpListener, SocketAddrV4) {
     let listener = TcpListener::bind(loopback(0)).unwrap();
     listener.set_nonblocking(true).unwrap();
-    let SocketAddr::V4(addr) = listener.local_addr().unwrap() else { panic!("an IPv4 address") };
+    let SocketAddr::V4(addr) = listener.local_addr().unwrap() else { panic!("the listener has no IPv4 address") };
     (listener, addr)
 }
 
@@ -162,7 +171,7 @@
         assert_eq!(harness.next_answer(), (call, Some(b"abc".to_vec())));
         harness.get(call + 1, addr, LONG);
     }
-    assert!(listener.accept().is_err(), "one connection suffices");
+    assert!(listener.accept().is_err(), "a second connection was opened");
 }
 
 #[test]
@@ -178,7 +187,7 @@
     harness.get(2, addr, LONG);
     let mut stream = harness.accept(&listener);
     harness.read_request(&mut stream, addr);
-    // A connection that breaks before the response, or brings none, ends its call without an answer.
+    // The call ends without an answer if the connection is closed before the response, or if the response is malformed.
     drop(stream);
     assert_eq!(harness.next_answer(), (2, None));
     harness.get(3, addr, LONG);
@@ -198,7 +207,7 @@
     }
     let mut streams: Vec<_> = (0..MAX_CONNECTIONS_PER_SERVICE).map(|_| harness.accept(&listener)).collect();
     harness.expect_silence();
-    assert!(listener.accept().is_err(), "the pool is full");
+    assert!(listener.accept().is_err(), "more than {MAX_CONNECTIONS_PER_SERVICE} connections were opened");
     let mut answered = Vec::new();
     for stream in &mut streams {
         harness.read_request(stream, addr);
@@ -221,7 +230,7 @@
     let mut stream = harness.accept(&listener);
     assert_eq!(harness.next_answer(), (1, None));
     harness.read_request(&mut stream, addr);
-    assert!(harness.is_closed(&mut stream), "a silent connection is not used again");
+    assert!(harness.is_closed(&mut stream), "the connection of an expired call stays open");
     harness.get(2, free_address(), LONG);
     assert_eq!(harness.next_answer(), (2, None));
     harness.expect_silence();
@@ -248,7 +257,7 @@
                     Connection: close\r\n\r\n";
     assert_eq!(String::from_utf8(harness.read(&mut client, expected.len())).unwrap(), expected);
     assert!(harness.is_closed(&mut client));
-    // A reply to a client that has gone is dropped.
+    // A reply to a client that has disconnected is dropped.
     let mut client = TcpStream::connect(addr).unwrap();
     client.write_all(b"GET /3 HTTP/1.1\r\n\r\n").unwrap();
     let (third, _) = harness.next_request();
@@ -282,7 +291,8 @@
         harness.turn();
     }
     let mut rejected = TcpStream::connect(addr).unwrap();
-    assert!(harness.is_closed(&mut rejected), "none has been idle for long");
+    // No open connection has been idle long enough to be closed in its place.
+    assert!(harness.is_closed(&mut rejected), "the connection beyond the limit was not closed");
     drop(clients.pop());
     harness.expect_silence();
     let mut accepted = TcpStream::connect(addr).unwrap();
@@ -305,7 +315,7 @@
     peer.write_all(&[0, 0, 0, 1, 5, 0xff, 0xff, 0xff, 0xff, 0]).unwrap();
     assert_eq!(harness.next_frame(), [5]);
     assert!(harness.is_closed(&mut peer));
-    // A frame of its own, to itself, in several parts.
+    // A large frame, which the transport sends to itself in several segments.
     let large = vec![3; 900_000];
     harness.transport.send_frame(addr, &large);
     assert!(harness.next_frame() == large);
@@ -324,7 +334,10 @@
     harness.transport.send_frame(addr, b"lost");
     harness.expect_silence();
     let is_dialled = listener.accept().is_ok();
-    assert!(!is_dialled || closed.elapsed() >= REDIAL_INTERVAL, "not dialled again at once");
+    assert!(
+        !is_dialled || closed.elapsed() >= REDIAL_INTERVAL,
+        "the peer was dialled again within {REDIAL_INTERVAL:?}"
+    );
     while closed.elapsed() < 2 * REDIAL_INTERVAL {
         harness.turn();
     }
