--- a/tests/availability.rs
+++ b/tests/availability.rs
@@ -228,7 +228,7 @@
     let machines = simulation.workers.len();
     assert!(
         machines >= machines_before,
-        "machines were deleted: {machines_before} before the partition, {machines} after it"
+        "machines were deleted: {machines_before} before the partition, {machines} at its end"
     );
     let expired_leases = epochs(&simulation) - epochs_before - (machines - machines_before) as u64;
     CutOffLeader { simulation, leader, expired_leases }
@@ -268,7 +268,7 @@
         let now = simulation.leader(0);
         assert!(
             now.is_some_and(|now| now != leader),
-            "seed {seed}: leader {now:?} after the partition, {leader} before it"
+            "seed {seed}: leader {now:?} at the end of the partition, {leader} before it"
         );
         assert!(delay_packets || expired_leases == 0, "seed {seed}: {expired_leases} worker leases expired");
     }
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -9,7 +9,7 @@
 
 /// Requests per second that the state service executes, as the settings of the simulation's controllers say.
 const STATE_REQUESTS_PER_SECOND: f64 = 120.0;
-/// Changes per second that the state service executes.
+/// Writes per second that the state service executes; each change of a record counts as one.
 const STATE_WRITES_PER_SECOND: usize = 30;
 
 /// Returns a cluster whose state service enforces its limit on requests per second.
