--- a/crates/leadership/src/cancellation.rs
+++ b/crates/leadership/src/cancellation.rs
@@ -17,7 +17,7 @@
     /// Duration of a worker lease, counted from when the worker sent its newest answered heartbeat.
     pub worker_lease: Span,
     /// Maximum time for which tasks of a cancelled job may remain on machines after the user was informed.
-    pub within: Span,
+    pub max_duration: Span,
 }
 
 /// Node that may still renew worker leases of machines with the job's tasks when the user is informed of the
@@ -45,7 +45,7 @@
     /// The grace period is the longest with which the bound is kept even if another node records a cancellation at the
     /// moment when the leader lease ends.
     pub fn grace(&self) -> Span {
-        (self.within - self.worker_lease.stretched() - EXPIRY_MARGIN).shrunk()
+        (self.max_duration - self.worker_lease.stretched() - EXPIRY_MARGIN).shrunk()
     }
 
     /// Returns the longest time for which a task can remain on a machine: until the last renewed worker lease has
@@ -59,7 +59,7 @@
     }
 
     /// Returns `true` if these settings allow the bound on cancelled tasks to be kept.
-    pub fn can_be_kept(&self) -> bool {
-        LeaseSource::ALL.into_iter().all(|lease_source| self.max_removal_time(lease_source) <= self.within)
+    pub fn is_feasible(&self) -> bool {
+        LeaseSource::ALL.into_iter().all(|lease_source| self.max_removal_time(lease_source) <= self.max_duration)
     }
 }
--- a/crates/leadership/src/membership.rs
+++ b/crates/leadership/src/membership.rs
@@ -26,11 +26,11 @@
     /// Shards that the node leads, with their terms.
     pub led: Vec<(ShardId, Revision)>,
     /// Newest term of each shard that the node knows.
-    pub known: Vec<(ShardId, Revision)>,
+    pub known_terms: Vec<(ShardId, Revision)>,
     /// Time since the state service last answered the node.
     pub state_silence: Span,
     /// Time since the node last received a heartbeat from each of the other nodes.
-    pub peer_ages: Vec<(NodeLabel, Span)>,
+    pub heartbeat_ages: Vec<(NodeLabel, Span)>,
     /// Newest version of the messages between controllers that the node understands; 0 if unknown.
     pub message_version: u32,
 }
@@ -268,7 +268,7 @@
         let own_last_heartbeat = self.peers.get(node)?.last_heartbeat_at;
         let other_peers = self.reachable_peers(now).filter(|(other, _)| *other != node);
         let last_heartbeats_at_peers = other_peers.filter_map(|(_, peer)| {
-            let (_, age) = peer.peer_status.peer_ages.iter().find(|(sender, _)| sender == node)?;
+            let (_, age) = peer.peer_status.heartbeat_ages.iter().find(|(sender, _)| sender == node)?;
             Some(peer.last_heartbeat_at - *age)
         });
         let liveness_seen =
@@ -277,7 +277,7 @@
     }
 
     /// Returns the time since the newest heartbeat of each of the peers arrived.
-    pub fn peer_ages(&self, now: Time) -> Vec<(NodeLabel, Span)> {
+    pub fn heartbeat_ages(&self, now: Time) -> Vec<(NodeLabel, Span)> {
         self.peers.iter().map(|(node, peer)| (node.clone(), now.since(peer.last_heartbeat_at))).collect()
     }
 
@@ -285,7 +285,7 @@
     /// direction, within `timeout`. A leader then writes a liveness record.
     pub fn is_partitioned(&self, now: Time, timeout: Span) -> bool {
         let is_reached = |peer: &Peer| {
-            peer.peer_status.peer_ages.iter().any(|(node, age)| *node == self.this_node && *age < timeout)
+            peer.peer_status.heartbeat_ages.iter().any(|(node, age)| *node == self.this_node && *age < timeout)
         };
         let is_connected = |peer: &Peer| now.since(peer.last_heartbeat_at) < timeout && is_reached(peer);
         let mut other_nodes = self.zones.keys().filter(|node| **node != self.this_node);
--- a/crates/leadership/src/overlap.rs
+++ b/crates/leadership/src/overlap.rs
@@ -48,7 +48,7 @@
     }
 
     /// Returns the longest time for which the deposed leader's lease may last after the replacement.
-    pub fn longest(&self) -> Span {
+    pub fn max_duration(&self) -> Span {
         Span::millis(self.bounds.decision_ms).stretched()
     }
 
--- a/crates/leadership/tests/cancellation.rs
+++ b/crates/leadership/tests/cancellation.rs
@@ -14,10 +14,10 @@
     let mut checked = 0;
     for _ in 0..20_000 {
         let worker_lease = Span::millis(rng.random_range(500..60_000));
-        let within = Span::millis(rng.random_range(500..120_000));
-        let bounds = CancellationBounds { worker_lease, within };
-        if !bounds.can_be_kept() {
-            assert!(within < worker_lease + Span::millis(2100) + worker_lease.times(0.01), "{bounds:?}");
+        let max_duration = Span::millis(rng.random_range(500..120_000));
+        let bounds = CancellationBounds { worker_lease, max_duration };
+        if !bounds.is_feasible() {
+            assert!(max_duration < worker_lease + Span::millis(2100) + worker_lease.times(0.01), "{bounds:?}");
             continue;
         }
         checked += 1;
@@ -26,9 +26,9 @@
         let slow = 1.0 / 0.9995;
         let last_renewal = bounds.grace().as_secs() * slow;
         let gone = last_renewal + worker_lease.as_secs() * slow + 1.0;
-        assert!(gone <= within.as_secs(), "{bounds:?}: {gone}");
+        assert!(gone <= max_duration.as_secs(), "{bounds:?}: {gone}");
         assert!(
-            LeaseSource::ALL.into_iter().all(|lease_source| bounds.max_removal_time(lease_source) <= within),
+            LeaseSource::ALL.into_iter().all(|lease_source| bounds.max_removal_time(lease_source) <= max_duration),
             "{bounds:?}"
         );
     }
--- a/crates/leadership/tests/membership.rs
+++ b/crates/leadership/tests/membership.rs
@@ -34,7 +34,7 @@
         incarnation,
         ready: true,
         led: vec![(SHARD, term)],
-        peer_ages: vec![(third_node.clone(), age)],
+        heartbeat_ages: vec![(third_node.clone(), age)],
         ..PeerStatus::default()
     };
     table.record_heartbeat_from(label(from), peer_status, now);
--- a/crates/reconciliation/src/lib.rs
+++ b/crates/reconciliation/src/lib.rs
@@ -29,7 +29,7 @@
 pub use stage::{Milestone, Stage, Summary};
 use sweep::Sweep;
 use unreconciled_machines::UnreconciledMachines;
-pub use unreconciled_machines::{MachineClass, TeamLimit};
+pub use unreconciled_machines::{MachineClass, TeamQuota};
 
 /// Progress of the recovery of one shard in one leadership term.
 pub struct Recovery {
@@ -47,7 +47,7 @@
     /// At most `max_queries` machines are queried at a time, not counting overdue queries. If `piecewise` is `true`, it
     /// is decided for each job and team separately which tasks may be started; otherwise no task in doubt is started
     /// before all machines are reconciled.
-    pub fn acquired(acquired_at: Time, max_queries: usize, piecewise: bool) -> Recovery {
+    pub fn new(acquired_at: Time, max_queries: usize, piecewise: bool) -> Recovery {
         Recovery {
             timeline: Timeline::new(acquired_at),
             sweep: Sweep::new(max_queries),
@@ -84,14 +84,14 @@
 
     /// Adds an unreconciled machine: a former leader may have started tasks on it. `size` is its capacity, zero if that
     /// is unknown; larger machines are queried first.
-    pub fn inherit(&mut self, id: &MachineId, class: MachineClass, size: Resources) {
+    pub fn add_unreconciled_machine(&mut self, id: &MachineId, class: MachineClass, size: Resources) {
         self.unreconciled_machines.add(id.clone(), class);
         self.sweep.add(id.clone(), size);
     }
 
     /// Records that all records have been read. `jobs` is the number of live jobs among them.
-    pub fn loaded(&mut self, now: Time, jobs: usize) {
-        self.timeline.loaded(now, jobs, self.unreconciled_machines.len());
+    pub fn record_loaded(&mut self, now: Time, jobs: usize) {
+        self.timeline.record_loaded(now, jobs, self.unreconciled_machines.len());
     }
 
     /// Returns the machines to query now. The caller must query each of them at once: they count as queried.
@@ -101,27 +101,27 @@
 
     /// Records that the caller has immediately queried a machine again, because the previous query named another agent
     /// epoch than the machine's.
-    pub fn queried_again(&mut self, id: &MachineId, now: Time) {
-        self.sweep.queried(id, now);
+    pub fn record_repeated_query(&mut self, id: &MachineId, now: Time) {
+        self.sweep.record_query(id, now);
     }
 
     /// Records that a query had no usable answer. The machine is queried again after a backoff.
-    pub fn unanswered(&mut self, id: &MachineId, now: Time) {
-        self.sweep.unanswered(id, now);
+    pub fn record_unanswered_query(&mut self, id: &MachineId, now: Time) {
+        self.sweep.record_unanswered_query(id, now);
     }
 
     /// Records that the caller cannot keep up with the answers. Halves the number of machines that are queried at a
     /// time.
-    pub fn overloaded(&mut self) {
+    pub fn record_overload(&mut self) {
         self.sweep.shrink_window();
     }
 
     /// Removes a machine from the unreconciled ones, since it is now known what runs on it. Returns `true` if it was
     /// the last unreconciled machine of its class, so that more tasks may be started than before.
-    pub fn reconciled(&mut self, id: &MachineId, now: Time) -> bool {
-        self.sweep.reconciled(id, now);
+    pub fn record_reconciled(&mut self, id: &MachineId, now: Time) -> bool {
+        self.sweep.record_reconciled(id, now);
         let was_last_of_class = self.unreconciled_machines.remove(id);
-        self.timeline.unreconciled_left(now, self.unreconciled_machines.len());
+        self.timeline.record_unreconciled_count(now, self.unreconciled_machines.len());
         was_last_of_class
     }
 
@@ -161,16 +161,16 @@
     }
 
     /// Returns an upper bound of the resources that a team may be using on the unreconciled machines and on further
-    /// machines whose total capacity is `others`. `capacity` returns the capacity of a machine type. If `limit` is
+    /// machines whose total capacity is `others`. `capacity` returns the capacity of a machine type. If `quota` is
     /// `None`, the total capacity is the only bound.
     pub fn max_unreconciled_usage(
         &self,
         team: &Name,
-        limit: Option<TeamLimit>,
+        quota: Option<TeamQuota>,
         capacity: impl Fn(&Name) -> Resources,
         others: Resources,
     ) -> Resources {
-        self.unreconciled_machines.max_usage(team, limit.filter(|_| self.piecewise), capacity, others)
+        self.unreconciled_machines.max_usage(team, quota.filter(|_| self.piecewise), capacity, others)
     }
 
     /// Returns the milestones reached since the previous call, in the order of [`Milestone`]'s variants.
--- a/crates/reconciliation/src/stage.rs
+++ b/crates/reconciliation/src/stage.rs
@@ -134,15 +134,15 @@
         }
     }
 
-    pub(crate) fn loaded(&mut self, now: Time, jobs: usize, machines: usize) {
+    pub(crate) fn record_loaded(&mut self, now: Time, jobs: usize, machines: usize) {
         self.jobs = jobs;
         self.machines = machines;
         self.reach(Milestone::Loaded, now);
-        self.unreconciled_left(now, machines);
+        self.record_unreconciled_count(now, machines);
     }
 
     /// Records the number of machines that are not reconciled yet.
-    pub(crate) fn unreconciled_left(&mut self, now: Time, unreconciled: usize) {
+    pub(crate) fn record_unreconciled_count(&mut self, now: Time, unreconciled: usize) {
         // The number can rise, because a machine transfer may add a machine during the recovery.
         self.machines = self.machines.max(unreconciled);
         self.unreconciled = unreconciled;
--- a/crates/reconciliation/src/sweep.rs
+++ b/crates/reconciliation/src/sweep.rs
@@ -117,13 +117,13 @@
         let machines: Vec<MachineId> =
             self.waiting.iter().take(self.free_queries(now)).map(|(_, id)| id.clone()).collect();
         for id in &machines {
-            self.queried(id, now);
+            self.record_query(id, now);
         }
         machines
     }
 
     /// Records that a machine was queried.
-    pub(crate) fn queried(&mut self, id: &MachineId, now: Time) {
+    pub(crate) fn record_query(&mut self, id: &MachineId, now: Time) {
         if self.targets.contains_key(id) {
             self.set_state(id, QueryState::InFlight(now));
             self.queries += 1;
@@ -131,7 +131,7 @@
     }
 
     /// Removes a machine that is reconciled, by the answer to a query or in another way, for example by a heartbeat.
-    pub(crate) fn reconciled(&mut self, id: &MachineId, now: Time) {
+    pub(crate) fn record_reconciled(&mut self, id: &MachineId, now: Time) {
         let Some(QueryTarget { state: QueryState::InFlight(since), .. }) = self.remove(id) else { return };
         let answer_time = now.since(since);
         if let Some(answer_times) = &mut self.answer_times {
@@ -143,7 +143,7 @@
     }
 
     /// Records that a query in flight had no usable answer, and schedules the next query to the machine.
-    pub(crate) fn unanswered(&mut self, id: &MachineId, now: Time) {
+    pub(crate) fn record_unanswered_query(&mut self, id: &MachineId, now: Time) {
         let Some(target) = self.targets.get_mut(id) else { return };
         if !matches!(target.state, QueryState::InFlight(_)) {
             return;
--- a/crates/reconciliation/src/unreconciled_machines.rs
+++ b/crates/reconciliation/src/unreconciled_machines.rs
@@ -17,7 +17,7 @@
 
 /// Quota of a team. `None` means that the resource is not limited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct TeamLimit {
+pub struct TeamQuota {
     /// Maximum CPUs that the team may use.
     pub cpus: Option<Quantity>,
     /// Maximum GPUs that the team may use.
@@ -77,19 +77,19 @@
     }
 
     /// Returns an upper bound of the resources that a team may be using on the unreconciled machines and on further
-    /// machines whose total capacity is `others`: their whole capacity, but no more than the team's limit less the
+    /// machines whose total capacity is `others`: their whole capacity, but no more than the team's quota less the
     /// resources of the attempts that were found running.
     ///
-    /// The limit is a valid bound for the following reason. Consider the moment at which the last former leader started
+    /// The quota is a valid bound for the following reason. Consider the moment at which the last former leader started
     /// its last task. Every attempt of a former leader that runs now was running or on its way at that moment, and its
-    /// resources were counted against the limit. So the attempts that were found since and those that are not found yet
-    /// were within the limit together, and since then attempts have only ended. Hence those that are not found yet use
-    /// at most the limit less the resources of those that were found, even after some of the latter have ended. The end
+    /// resources were counted against the quota. So the attempts that were found since and those that are not found yet
+    /// were within the quota together, and since then attempts have only ended. Hence those that are not found yet use
+    /// at most the quota less the resources of those that were found, even after some of the latter have ended. The end
     /// of an attempt that was found therefore makes room for a new one.
     pub(crate) fn max_usage(
         &self,
         team: &Name,
-        limit: Option<TeamLimit>,
+        quota: Option<TeamQuota>,
         capacity: impl Fn(&Name) -> Resources,
         others: Resources,
     ) -> Resources {
@@ -97,11 +97,11 @@
             .count_by_class
             .iter()
             .fold(others, |sum, (class, count)| sum.plus(&scaled(capacity(&class.kind), *count)));
-        let Some(limit) = limit else { return total_capacity };
+        let Some(quota) = quota else { return total_capacity };
         let found = self.found_by_team.get(team).copied().unwrap_or_default();
         Resources {
-            cpus: total_capacity.cpus.min(remaining(limit.cpus, found.cpus)),
-            gpus: total_capacity.gpus.min(remaining(limit.gpus, found.gpus)),
+            cpus: total_capacity.cpus.min(remaining(quota.cpus, found.cpus)),
+            gpus: total_capacity.gpus.min(remaining(quota.gpus, found.gpus)),
             memory: total_capacity.memory,
         }
     }
--- a/crates/reconciliation/tests/sweep.rs
+++ b/crates/reconciliation/tests/sweep.rs
@@ -29,14 +29,14 @@
     fn new(seed: u64) -> Run {
         let mut rng = SmallRng::seed_from_u64(seed);
         let now = Time(1_000_000);
-        let mut recovery = Recovery::acquired(now, MAX_QUERIES, true);
+        let mut recovery = Recovery::new(now, MAX_QUERIES, true);
         let unreconciled: BTreeSet<MachineId> = (0..200).map(machine).collect();
         for id in &unreconciled {
             let class = MachineClass { kind: Name::new("small"), zone: Name::new("east"), spot: rng.random() };
             let size = Resources { cpus: Quantity(rng.random_range(1..5)), ..Resources::default() };
-            recovery.inherit(id, class, size);
+            recovery.add_unreconciled_machine(id, class, size);
         }
-        recovery.loaded(now, 0);
+        recovery.record_loaded(now, 0);
         Run { seed, rng, now, recovery, unreconciled, in_flight: BTreeMap::new() }
     }
 
@@ -44,14 +44,14 @@
         self.now += Span::millis(self.rng.random_range(1..40));
         self.send_queries();
         if self.rng.random_bool(0.02) {
-            self.recovery.overloaded();
+            self.recovery.record_overload();
         }
         // A machine is reconciled without an answer to a query: it sends a heartbeat, or is gone.
         if self.rng.random_bool(0.05)
             && let Some(id) = self.unreconciled.pop_first()
         {
             self.in_flight.remove(&id);
-            self.recovery.reconciled(&id, self.now);
+            self.recovery.record_reconciled(&id, self.now);
         }
         let finished: Vec<MachineId> = self.in_flight.keys().filter(|_| self.rng.random_bool(0.2)).cloned().collect();
         for id in finished {
@@ -74,15 +74,15 @@
 
     fn finish_query(&mut self, id: &MachineId) {
         match self.rng.random_range(0..4) {
-            0 => self.recovery.queried_again(id, self.now),
+            0 => self.recovery.record_repeated_query(id, self.now),
             1 => {
                 self.in_flight.remove(id);
-                self.recovery.unanswered(id, self.now);
+                self.recovery.record_unanswered_query(id, self.now);
             }
             _ => {
                 self.in_flight.remove(id);
                 self.unreconciled.remove(id);
-                self.recovery.reconciled(id, self.now);
+                self.recovery.record_reconciled(id, self.now);
             }
         }
     }
--- a/src/config/validation.rs
+++ b/src/config/validation.rs
@@ -133,8 +133,8 @@
 impl Workers {
     fn cancellation(&self) -> Result<CancellationBounds, ConfigError> {
         let worker_lease = Span::secs(self.lease_s);
-        let cancellation = CancellationBounds { worker_lease, within: Span::secs(self.cancel_s) };
-        if !cancellation.can_be_kept() {
+        let cancellation = CancellationBounds { worker_lease, max_duration: Span::secs(self.cancel_s) };
+        if !cancellation.is_feasible() {
             // A task on a machine that cannot be reached stops only when the machine's lease expires.
             let problem = "must be longer than facts.workers.lease_s by more than 2 s";
             return Err(ConfigError::field("facts.workers.cancel_s", problem));
--- a/src/coordination/leadership/peer_heartbeats.rs
+++ b/src/coordination/leadership/peer_heartbeats.rs
@@ -51,7 +51,7 @@
             incarnation: self.incarnation,
             known: self.membership.known_terms(),
             state_silence: self.leadership.failure_detection.state_silence(self.now),
-            peer_ages: self.membership.peer_ages(self.now),
+            peer_ages: self.membership.heartbeat_ages(self.now),
             message_version: MESSAGE_VERSION,
         }
     }
@@ -80,8 +80,16 @@
         else {
             return;
         };
-        let peer_status =
-            PeerStatus { incarnation, holds_lease, ready, led, known, state_silence, peer_ages, message_version };
+        let peer_status = PeerStatus {
+            incarnation,
+            holds_lease,
+            ready,
+            led,
+            known_terms: known,
+            state_silence,
+            heartbeat_ages: peer_ages,
+            message_version,
+        };
         self.record_peer_heartbeat(from, peer_status, rented, spare);
     }
 
@@ -119,7 +127,7 @@
     /// Ends the leadership overlap with a deposed leader that reports the term that replaced it, or a newer one.
     fn end_overlaps(&mut self, from: &NodeLabel, peer_status: &PeerStatus) {
         let one_process_per_label = self.settings.properties.recovery.reacquire_own;
-        for &(id, known_term) in &peer_status.known {
+        for &(id, known_term) in &peer_status.known_terms {
             let Some(shard) = self.shards.get_mut(&id).filter(|shard| shard.term <= known_term) else { continue };
             if let Some(overlap) = &mut shard.leadership.overlap
                 && overlap.record_heartbeat_from(from, peer_status.incarnation, one_process_per_label)
--- a/src/coordination/shard/attempts.rs
+++ b/src/coordination/shard/attempts.rs
@@ -7,7 +7,7 @@
 use crate::model::{AttemptNumber, JobId, JobKind, MachineId, MachineType, Name, Quantity, Resources, TaskId};
 use crate::protocol::workers::{Exit, TaskState, TaskStatus, WorkerHeartbeat};
 use crate::time::Time;
-use crowstall_reconciliation::TeamLimit;
+use crowstall_reconciliation::TeamQuota;
 use std::collections::{HashMap, HashSet};
 
 /// Facts about an attempt that are needed when it ends.
@@ -37,8 +37,8 @@
         let with_unknown_jobs = self.machines_with_unknown_jobs.iter().filter_map(|id| self.machines.get(id));
         let unknown_jobs = with_unknown_jobs.fold(Resources::default(), |sum, machine| sum.plus(&room(&machine.kind)));
         let quota = settings.teams.get(team).filter(|_| self.leadership.same_quotas);
-        let limit = quota.map(|quota| TeamLimit { cpus: quota.cpus_max, gpus: quota.gpus_max });
-        counted.plus(&self.recovery.max_unreconciled_usage(team, limit, room, unknown_jobs))
+        let quota = quota.map(|quota| TeamQuota { cpus: quota.cpus_max, gpus: quota.gpus_max });
+        counted.plus(&self.recovery.max_unreconciled_usage(team, quota, room, unknown_jobs))
     }
 
     /// Adds an attempt to a machine in memory, and to its team's usage unless it is over. It becomes the current
--- a/src/coordination/shard/mod.rs
+++ b/src/coordination/shard/mod.rs
@@ -308,7 +308,7 @@
         let mut machine = Machine::new(record, addr, version, self.term, now);
         machine.reconciled_by = reconciled_by;
         let class = MachineClass { kind: record.kind.clone(), zone: record.zone.clone(), spot: record.spot };
-        self.recovery.inherit(&id, class, size);
+        self.recovery.add_unreconciled_machine(&id, class, size);
         self.machines.insert(id, machine);
     }
 
@@ -349,7 +349,7 @@
 
     /// Records that no attempt unknown to this leader can be running on the machine any more.
     fn end_reconciliation_of(&mut self, id: &MachineId, now: Time) {
-        if self.recovery.reconciled(id, now) {
+        if self.recovery.record_reconciled(id, now) {
             self.release_reconciled_tasks();
         }
     }
--- a/src/coordination/shard/task_runtimes/tests.rs
+++ b/src/coordination/shard/task_runtimes/tests.rs
@@ -24,7 +24,7 @@
         let now = Time(1_000_000);
         let mut shard = Shard::new(
             LeadershipTerm { shard: ShardId(0), term: Revision(5) },
-            Recovery::acquired(now, 1, true),
+            Recovery::new(now, 1, true),
             Arc::default(),
         );
         shard.runtime_samples = Some(RuntimeSamples::new(Span::millis(1000)));
--- a/src/coordination/shard_recovery/loading.rs
+++ b/src/coordination/shard_recovery/loading.rs
@@ -57,7 +57,7 @@
     fn new_shard(&self, leadership: LeadershipTerm, context: AcquisitionContext, sent: Time) -> Shard {
         let now = self.now;
         let properties = &self.settings.properties.recovery;
-        let recovery = Recovery::acquired(now, properties.asks, properties.piecewise);
+        let recovery = Recovery::new(now, properties.asks, properties.piecewise);
         let mut shard = Shard::new(leadership, recovery, self.settings.late_factors.clone());
         shard.leadership.leader_lease = LeaderLease::acquired(sent, self.leadership.bounds());
         shard.leadership.overlap = context.leadership_overlap(now);
@@ -140,7 +140,7 @@
         }
         let Some(shard) = self.shards.get_mut(&id) else { return };
         let jobs = shard.jobs.len();
-        shard.recovery.loaded(now, jobs);
+        shard.recovery.record_loaded(now, jobs);
         shard.release_reconciled_tasks();
         let (waiting, machines) = (shard.dependencies.len(), shard.machines.len());
         log::info!(
@@ -152,7 +152,7 @@
             self.handle_heartbeat(requester, heartbeat);
         }
         self.send_peer_heartbeat();
-        self.sweep(id);
+        self.query_machines(id);
         self.log_milestones(id);
     }
 
@@ -198,9 +198,9 @@
     /// and for the grace period after it.
     fn end_of_inherited_worker_leases(&self, id: ShardId) -> Time {
         let overlap = self.shards.get(&id).and_then(|shard| shard.leadership.overlap.as_ref());
-        let longest_overlap = overlap.map(LeadershipOverlap::longest).unwrap_or_default();
+        let max_overlap = overlap.map(LeadershipOverlap::max_duration).unwrap_or_default();
         self.now
-            + longest_overlap
+            + max_overlap
             + self.worker_lease_grace()
             + self.settings.worker_lease.stretched()
             + WORKER_LEASE_MARGIN
--- a/src/coordination/shard_recovery/machine_queries.rs
+++ b/src/coordination/shard_recovery/machine_queries.rs
@@ -51,7 +51,7 @@
 impl Controller {
     /// Queries the next unreconciled machines by direct calls, without waiting until their workers find this node. The
     /// workers answer under the new fencing token.
-    pub(in crate::coordination) fn sweep(&mut self, shard_id: ShardId) {
+    pub(in crate::coordination) fn query_machines(&mut self, shard_id: ShardId) {
         if !self.may_renew_worker_leases(shard_id) {
             return;
         }
@@ -66,7 +66,7 @@
                     let request = WorkerCall { token: machine.token, epoch, commands: Vec::new() };
                     calls.push((id, machine.addr, request));
                 }
-                _ => shard.recovery.unanswered(&id, now),
+                _ => shard.recovery.record_unanswered_query(&id, now),
             }
         }
         for (id, addr, request) in calls {
@@ -95,9 +95,9 @@
         match answer {
             ReconciliationAnswer::Current(heartbeat) => self.reconcile_machine(shard_id, &heartbeat),
             ReconciliationAnswer::OtherEpoch(epoch) => self.call_in_epoch(shard_id, id, epoch),
-            ReconciliationAnswer::Unusable => shard.recovery.unanswered(id, now),
+            ReconciliationAnswer::Unusable => shard.recovery.record_unanswered_query(id, now),
         }
-        self.sweep(shard_id);
+        self.query_machines(shard_id);
     }
 
     /// Applies a heartbeat that lists a machine's attempts under this leader's fencing token, and marks the machine as
@@ -124,7 +124,7 @@
         let Some(machine) = shard.machines.get_mut(id) else { return };
         machine.last_heartbeat = HeartbeatNumber::before_epoch(epoch);
         let (addr, token) = (machine.addr, machine.token);
-        shard.recovery.queried_again(id, now);
+        shard.recovery.record_repeated_query(id, now);
         self.call_worker(shard_id, id, addr, WorkerCall { token, epoch, commands: Vec::new() });
     }
 }
--- a/src/coordination/shard_recovery/mod.rs
+++ b/src/coordination/shard_recovery/mod.rs
@@ -95,10 +95,10 @@
             if let Some(shard) = self.shards.get_mut(&id)
                 && is_late
             {
-                shard.recovery.overloaded();
+                shard.recovery.record_overload();
             }
             self.begin_serving(id);
-            self.sweep(id);
+            self.query_machines(id);
             self.log_milestones(id);
             self.record_quotas(id);
         }
--- a/src/coordination/worker_heartbeats/registration.rs
+++ b/src/coordination/worker_heartbeats/registration.rs
@@ -260,7 +260,7 @@
     pub(super) fn machine_record_fetched(&mut self, leadership: LeadershipTerm, answer: StateResult) {
         let Ok(StateAnswer::Found(entry)) = answer else { return };
         self.load_machine_entry(leadership, &entry);
-        self.sweep(leadership.shard);
+        self.query_machines(leadership.shard);
     }
 }
 
