--- a/src/coordination/boot_statistics.rs
+++ b/src/coordination/boot_statistics.rs
@@ -5,7 +5,7 @@
 //! moment, or never.
 
 use super::controller::Controller;
-use super::shard::Booting;
+use super::shard::BootingMachine;
 use crate::model::{MachineType, Name, ShardId};
 use crate::time::{Span, Time};
 use std::collections::{HashMap, VecDeque};
@@ -119,7 +119,7 @@
         let (types, statistics) = self.cloud.types_and_boot_statistics_mut();
         for (machine_id, machine) in &mut shard.fleet.booting {
             let Some(machine_type) = types.get(&machine.kind) else { continue };
-            let age = now.since(machine.since);
+            let age = now.since(machine.rented_at);
             if age > overdue_after(machine_type) && !machine.overdue {
                 log::debug!(
                     "machine {machine_id} ({}, {}): not up {:.1} s after it was rented; counting the boot as overdue",
@@ -139,9 +139,9 @@
     /// Returns `true` if a booting machine counts as capacity. An overdue machine may never come up, so it does not
     /// count and a replacement is rented. If all machines of the type boot late, it counts for some time; otherwise
     /// ever more machines would be rented.
-    pub(super) fn is_awaited(&self, machine: &Booting) -> bool {
+    pub(super) fn is_awaited(&self, machine: &BootingMachine) -> bool {
         let Some(machine_type) = self.cloud.machine_type(&machine.kind) else { return false };
-        let awaited_until = machine.since + (machine_type.boot.times(AWAITED_BOOT_TIMES) + AWAITED_MARGIN);
+        let awaited_until = machine.rented_at + (machine_type.boot.times(AWAITED_BOOT_TIMES) + AWAITED_MARGIN);
         let may_only_be_late =
             || self.now < awaited_until && self.cloud.boot_statistics().all_late(machine_type, self.now);
         !machine.deleting && (!machine.overdue || may_only_be_late())
--- a/src/coordination/cloud.rs
+++ b/src/coordination/cloud.rs
@@ -162,12 +162,12 @@
     }
 
     /// Returns the time in seconds in which the fastest machine type fetches an image; `f64::MAX` if no type is known.
-    pub fn least_fetch(&self, image_gb: f64) -> f64 {
+    pub fn min_fetch_s(&self, image_gb: f64) -> f64 {
         self.types.values().map(|machine_type| image_gb / machine_type.fetch_gb_per_s).fold(f64::MAX, f64::min)
     }
 
     /// Sets the number of calls per second that this node may make.
-    pub fn set_share(&mut self, rate: f64) {
+    pub fn set_rate(&mut self, rate: f64) {
         self.rate_limiter.set_rate(rate, BURST_SECONDS * rate);
     }
 
@@ -238,15 +238,15 @@
             self.cloud.rate_limiter.drain(self.now);
         }
         if let Some((operation, answer)) = self.defer_unconfirmed_deletion(operation, answer) {
-            self.cloud_done(operation, answer);
+            self.dispatch_cloud_answer(operation, answer);
         }
     }
 
     /// Dispatches an answer of the cloud, once it is confirmed, to the component that made the call.
-    pub(super) fn cloud_done(&mut self, operation: CloudOperation, answer: Result<CloudAnswer, CallError>) {
+    pub(super) fn dispatch_cloud_answer(&mut self, operation: CloudOperation, answer: Result<CloudAnswer, CallError>) {
         match operation {
             CloudOperation::Catalog => self.cloud.catalog_answered(answer),
-            CloudOperation::List { so_far } => self.page_listed(so_far, answer),
+            CloudOperation::List { listed } => self.page_listed(listed, answer),
             CloudOperation::Rent { leadership, request } => self.rental_answered(leadership, request, answer),
             CloudOperation::Delete { leadership, machines } => self.deletion_answered(leadership, machines, answer),
             CloudOperation::DeleteUnknown => self.cloud.unknown_deletion_answered(),
--- a/src/coordination/confirmation.rs
+++ b/src/coordination/confirmation.rs
@@ -208,7 +208,7 @@
         for DeferredAnswer { call, .. } in deferred {
             match call {
                 DeferredCall::State { sent, operation, answer } => self.complete_state_call(sent, operation, answer),
-                DeferredCall::Cloud { operation, answer } => self.cloud_done(operation, answer),
+                DeferredCall::Cloud { operation, answer } => self.dispatch_cloud_answer(operation, answer),
             }
         }
     }
--- a/src/coordination/controller.rs
+++ b/src/coordination/controller.rs
@@ -14,7 +14,7 @@
 use super::relay::Relays;
 use super::replica::Replica;
 use super::request_statistics::RequestStatistics;
-use super::scale_in::RemovedMachines;
+use super::scale_in::DeletedMachines;
 use super::shard::Shard;
 use super::shard_recovery::RecoveryLog;
 use super::state_admission::TrafficClass;
@@ -86,7 +86,7 @@
     /// Machines that wait until their records may be written.
     pub(super) registrations: Registrations,
     /// Machines that were deleted, whose delayed heartbeats must not register them again.
-    pub(super) removed_machines: RemovedMachines,
+    pub(super) deleted_machines: DeletedMachines,
     /// Workers whose heartbeats this node relays to the leader of their shard.
     pub(super) relays: Relays,
     /// Idle machines that other controllers offer for transfer.
@@ -121,7 +121,7 @@
             users: UserRequests::default(),
             directory: Directory::new(settings.properties.ended_jobs_kept),
             registrations: Registrations::default(),
-            removed_machines: RemovedMachines::default(),
+            deleted_machines: DeletedMachines::default(),
             relays: Relays::default(),
             offers: PeerOffers::default(),
             cloud: Cloud::new(&settings),
@@ -186,7 +186,7 @@
         let requests_per_second = self.settings.state_rps * self.fraction_of_limit(EVEN_FRACTION_OF_REQUESTS);
         let fraction_of_writes = self.fraction_of_limit(EVEN_FRACTION_OF_WRITES);
         self.calls.set_rate_limit_share(requests_per_second, fraction_of_writes);
-        self.cloud.set_share(self.settings.cloud_rps * fraction_of_writes);
+        self.cloud.set_rate(self.settings.cloud_rps * fraction_of_writes);
     }
 
     /// Returns this node's fraction of a rate limit. `even_fraction` of the limit is divided evenly among all
--- a/src/coordination/forecasts/capacity.rs
+++ b/src/coordination/forecasts/capacity.rs
@@ -105,7 +105,7 @@
 /// cloud. Machines that are unreconciled after a failover are included, since they will be reconciled soon.
 fn groups_of_machines_up(shard: &Shard, types: &HashMap<Name, MachineType>) -> Vec<MachineGroup> {
     let mut classes: BTreeMap<MachineClass, UpMachines> = BTreeMap::new();
-    let stays = |machine: &&Machine| !machine.draining && !machine.deleting && machine.notice.is_none();
+    let stays = |machine: &&Machine| !machine.draining && !machine.deleting && machine.reclaim_at.is_none();
     for machine in shard.machines.values().filter(stays) {
         let class = MachineClass { kind: machine.kind.clone(), zone: machine.zone.clone(), spot: machine.spot };
         let up = classes.entry(class).or_default();
@@ -135,7 +135,7 @@
     let mut counts: BTreeMap<BootingMachines, u32> = BTreeMap::new();
     for machine in shard.fleet.booting.values().filter(|machine| !machine.deleting) {
         let Some(kind) = types.get(&machine.kind) else { continue };
-        let age = now.since(machine.since);
+        let age = now.since(machine.rented_at);
         let time_until_up = (kind.boot - age).max(age.times(EXPECTED_DELAY_FRACTION));
         let class = MachineClass { kind: machine.kind.clone(), zone: machine.zone.clone(), spot: machine.spot };
         *counts.entry(BootingMachines { class, seconds_until_up: whole_seconds(time_until_up) }).or_default() += 1;
--- a/src/coordination/forecasts/store.rs
+++ b/src/coordination/forecasts/store.rs
@@ -2,7 +2,7 @@
 //! over all job arrays of the shard.
 
 use super::super::cloud::Cloud;
-use super::super::scale_out::PLAN_PAUSE;
+use super::super::scale_out::PLAN_INTERVAL;
 use super::super::shard::{AttemptLocation, Job, Shard};
 use super::capacity::FreeCapacity;
 use super::snapshots::SnapshotState;
@@ -16,7 +16,7 @@
 use std::collections::HashMap;
 
 /// Minimum time between the starts of two rounds of forecasts, unless a user asks for a forecast that is missing.
-const ROUND_INTERVAL: Span = PLAN_PAUSE;
+const ROUND_INTERVAL: Span = PLAN_INTERVAL;
 
 /// Minimum time between the start of a round and the start of the next one on a user's request.
 const MIN_ROUND_INTERVAL: Span = Span::millis(200);
@@ -226,7 +226,7 @@
 
 /// Returns the minimum time to fetch a job's image, or zero while no machine type is known.
 fn image_fetch_time(spec: &JobSpec, cloud: &Cloud) -> Span {
-    let seconds = cloud.least_fetch(spec.image_gb);
+    let seconds = cloud.min_fetch_s(spec.image_gb);
     if seconds < f64::MAX { Span::secs(seconds) } else { Span::ZERO }
 }
 
--- a/src/coordination/leadership/isolation.rs
+++ b/src/coordination/leadership/isolation.rs
@@ -85,9 +85,9 @@
         let heartbeats = self.settings.heartbeat_interval.times(MISSED_HEARTBEATS);
         let timeout = heartbeats.max(self.settings.worker_lease.times(SILENCE_FRACTION_OF_WORKER_LEASE));
         let is_silent = |shard: &&Shard| {
-            let last_heard = shard.machines.values().map(|machine| machine.seen).max();
+            let last_contact_at = shard.machines.values().map(|machine| machine.last_contact_at).max();
             shard.is_active()
-                && last_heard.is_some_and(|last_heard| self.now.since(last_heard) >= timeout)
+                && last_contact_at.is_some_and(|last_contact_at| self.now.since(last_contact_at) >= timeout)
                 && !self.is_changing_leadership(shard.id)
         };
         self.shards.values().filter(is_silent).map(|shard| shard.id).collect()
--- a/src/coordination/machine_list.rs
+++ b/src/coordination/machine_list.rs
@@ -113,36 +113,36 @@
         {
             return;
         }
-        if let ListProgress::PageWaiting(so_far) = std::mem::take(&mut self.cloud.machine_list_mut().progress) {
-            self.request_page(so_far);
+        if let ListProgress::PageWaiting(listed) = std::mem::take(&mut self.cloud.machine_list_mut().progress) {
+            self.request_page(listed);
         }
     }
 
     /// Requests the page that follows the machines listed so far.
-    fn request_page(&mut self, so_far: Vec<ListedMachine>) {
+    fn request_page(&mut self, listed: Vec<ListedMachine>) {
         self.cloud.machine_list_mut().progress = ListProgress::PageRequested;
-        let after = so_far.last().map(|machine| machine.id.clone());
-        self.calls.send_to_cloud(CloudCall::List { after }, CloudOperation::List { so_far });
+        let after = listed.last().map(|machine| machine.id.clone());
+        self.calls.send_to_cloud(CloudCall::List { after }, CloudOperation::List { listed });
     }
 
     /// Handles the answer to the call for a page: adds its machines to the list that is being read, and completes the
     /// list with the last page. A page after the first that was refused over the limit or not answered is requested
     /// again later. After any other failure the list is dropped, and reading begins anew at the next interval.
-    pub(super) fn page_listed(&mut self, mut so_far: Vec<ListedMachine>, answer: Result<CloudAnswer, CallError>) {
+    pub(super) fn page_listed(&mut self, mut listed: Vec<ListedMachine>, answer: Result<CloudAnswer, CallError>) {
         match answer {
-            Ok(CloudAnswer::Machines { listed, more }) => {
-                let is_last = !more || listed.is_empty();
-                so_far.extend(listed);
+            Ok(CloudAnswer::Machines { listed: page, more }) => {
+                let is_last = !more || page.is_empty();
+                listed.extend(page);
                 if is_last {
-                    self.cloud.machine_list_mut().complete(so_far, self.now);
+                    self.cloud.machine_list_mut().complete(listed, self.now);
                     self.machine_list_completed();
                 } else {
-                    self.cloud.machine_list_mut().progress = ListProgress::PageWaiting(so_far);
+                    self.cloud.machine_list_mut().progress = ListProgress::PageWaiting(listed);
                     self.request_next_page();
                 }
             }
-            Err(CallError::NoAnswer | CallError::Refused { over_limit: true }) if !so_far.is_empty() => {
-                self.cloud.machine_list_mut().progress = ListProgress::PageWaiting(so_far);
+            Err(CallError::NoAnswer | CallError::Refused { over_limit: true }) if !listed.is_empty() => {
+                self.cloud.machine_list_mut().progress = ListProgress::PageWaiting(listed);
             }
             _ => self.cloud.machine_list_mut().progress = ListProgress::Idle,
         }
--- a/src/coordination/pending_calls.rs
+++ b/src/coordination/pending_calls.rs
@@ -8,8 +8,8 @@
 pub(super) enum CloudOperation {
     /// Reads the catalog of machine types.
     Catalog,
-    /// Reads the next page of the list of machines. `so_far` contains the machines of the earlier pages.
-    List { so_far: Vec<ListedMachine> },
+    /// Reads the next page of the list of machines. `listed` contains the machines of the earlier pages.
+    List { listed: Vec<ListedMachine> },
     /// Rents machines for a shard. `request` is the name of the rental request.
     Rent { leadership: LeadershipTerm, request: String },
     /// Deletes machines of a shard.
--- a/src/coordination/placement/binding.rs
+++ b/src/coordination/placement/binding.rs
@@ -207,7 +207,7 @@
             sent_in: binding.heartbeat,
             running_since: None,
             progress: AttemptProgress::default(),
-            stop: None,
+            stop_grace_s: None,
         };
         log::debug!("task {task}: starting attempt {attempt_number} on machine {machine_id}");
         binding.free = binding.free.minus(&attempt.needs);
--- a/src/coordination/placement/preemption.rs
+++ b/src/coordination/placement/preemption.rs
@@ -215,7 +215,8 @@
     /// Returns the attempts on a machine whose jobs have a lower rank than the job's own priority, except those that
     /// are to be stopped already.
     fn possible_victims(&self, job: &Job, machine: &Machine, now: Time) -> Vec<Victim> {
-        let attempts = machine.attempts.iter().filter(|(_, attempt)| !attempt.is_over() && attempt.stop.is_none());
+        let attempts =
+            machine.attempts.iter().filter(|(_, attempt)| !attempt.is_over() && attempt.stop_grace_s.is_none());
         attempts
             .filter_map(|(attempt_number, attempt)| {
                 let other = self.jobs.get(&attempt.task.job)?;
@@ -234,7 +235,7 @@
             let Some(attempt) = machine.attempts.get_mut(attempt_number) else { continue };
             let spec = self.jobs.get(&attempt.task.job).map(|job| &job.spec);
             let grace_s = spec.filter(|spec| spec.checkpoint_s > 0.0).map_or(0.0, |spec| spec.save_s);
-            attempt.stop = Some(grace_s);
+            attempt.stop_grace_s = Some(grace_s);
         }
     }
 }
--- a/src/coordination/placement/score.rs
+++ b/src/coordination/placement/score.rs
@@ -41,7 +41,7 @@
     /// Returns the placement score of the machine for a task of the job.
     pub(super) fn placement_score(&self, job: &Job, machine: &Machine, machine_cpus: Quantity) -> PlacementScore {
         let (mut runs_same_job, mut runs_no_service) = (false, true);
-        for attempt in self.service_attempts(machine).filter(|attempt| attempt.stop.is_none()) {
+        for attempt in self.service_attempts(machine).filter(|attempt| attempt.stop_grace_s.is_none()) {
             runs_no_service = false;
             runs_same_job |= attempt.task.job == job.spec.id;
         }
@@ -75,7 +75,7 @@
         };
         self.count_inspections(self.machines.len());
         self.machines.iter().any(|(other_id, other)| {
-            context.now.since(other.seen) < max_wait
+            context.now.since(other.last_contact_at) < max_wait
                 && self.is_better(job, other_id, other, &score, worth_waiting_for, context)
         })
     }
--- a/src/coordination/rentals.rs
+++ b/src/coordination/rentals.rs
@@ -3,7 +3,7 @@
 use super::controller::Controller;
 use super::leadership_term::LeadershipTerm;
 use super::pending_calls::CloudOperation;
-use super::shard::{Booting, Rental};
+use super::shard::{BootingMachine, Rental};
 use crate::model::{MachineId, ShardId};
 use crate::protocol::CallError;
 use crate::protocol::cloud::{CloudAnswer, CloudCall, MAX_RENTED};
@@ -91,7 +91,7 @@
         for machine in &machines {
             self.directory.set_machine_shard(machine.clone(), id);
             if !shard.machines.contains_key(machine) {
-                shard.fleet.booting.insert(machine.clone(), Booting::new(rental.class(), now));
+                shard.fleet.booting.insert(machine.clone(), BootingMachine::new(rental.class(), now));
             }
         }
         if (machines.len() as u32) < rental.count {
--- a/src/coordination/scale_in/deletion.rs
+++ b/src/coordination/scale_in/deletion.rs
@@ -18,14 +18,14 @@
 
 /// Machines that were deleted recently. Their heartbeats may still arrive.
 #[derive(Default)]
-pub(in crate::coordination) struct RemovedMachines {
+pub(in crate::coordination) struct DeletedMachines {
     /// Ids of the machines. The set is cleared when it reaches its maximum size.
     machines: HashSet<MachineId>,
     /// Time at which a record was last removed as stale.
     pub(super) last_record_removal: Time,
 }
 
-impl RemovedMachines {
+impl DeletedMachines {
     /// Returns `true` if the machine was deleted.
     pub fn contains(&self, machine: &MachineId) -> bool {
         self.machines.contains(machine)
@@ -46,7 +46,7 @@
     pub(in crate::coordination) fn delete_machines(&mut self, id: ShardId) {
         let now = self.now;
         let Some(shard) = self.shards.get_mut(&id) else { return };
-        if shard.fleet.deleting_until > now {
+        if shard.fleet.next_deletion_at > now {
             return;
         }
         let running = shard.machines.iter().filter(|(_, machine)| machine.deleting).map(|(id, _)| id);
@@ -55,7 +55,7 @@
         if machines.is_empty() || !self.cloud.take_call(now) {
             return;
         }
-        shard.fleet.deleting_until = now + DELETION_TIMEOUT;
+        shard.fleet.next_deletion_at = now + DELETION_TIMEOUT;
         let operation = CloudOperation::Delete { leadership: shard.leadership_term(), machines: machines.clone() };
         self.calls.send_to_cloud(CloudCall::Delete(machines), operation);
     }
@@ -71,10 +71,10 @@
         let now = self.now;
         let Some(shard) = self.shard_in_term(leadership) else { return };
         if !matches!(answer, Ok(CloudAnswer::Deleted)) {
-            shard.fleet.deleting_until = now + DELETION_RETRY_INTERVAL;
+            shard.fleet.next_deletion_at = now + DELETION_RETRY_INTERVAL;
             return;
         }
-        shard.fleet.deleting_until = Time::ZERO;
+        shard.fleet.next_deletion_at = Time::ZERO;
         for machine in machines {
             self.machine_deleted(id, &machine);
         }
@@ -98,7 +98,7 @@
         let Some(shard) = self.shards.get_mut(&id) else { return };
         let Some(removed) = shard.remove_machine(machine, now) else { return };
         shard.fleet.stale_machine_records.insert(machine.clone(), removed.version);
-        self.removed_machines.insert(machine.clone());
+        self.deleted_machines.insert(machine.clone());
         self.directory.forget_machine_shard(machine);
     }
 }
--- a/src/coordination/scale_in/listed_machines.rs
+++ b/src/coordination/scale_in/listed_machines.rs
@@ -3,7 +3,7 @@
 
 use super::super::controller::Controller;
 use super::super::pending_calls::CloudOperation;
-use super::super::shard::Booting;
+use super::super::shard::BootingMachine;
 use super::super::shard::Shard;
 use crate::model::{MachineId, ShardId};
 use crate::protocol::cloud::{CloudCall, ListedMachine, MAX_DELETED, MachineState};
@@ -51,8 +51,11 @@
             let is_listed = list.contains(machine_id);
             machine.listed |= is_listed;
             machine.deleting |= has_failed(machine_id);
-            let is_silent = now.since(machine.seen) > worker_lease + list_lag + list_lag + VANISHED_MARGIN;
-            if !is_listed && is_silent && machine.surely_dead(now, worker_lease, &shard.leadership.leader_lease) {
+            let is_silent = now.since(machine.last_contact_at) > worker_lease + list_lag + list_lag + VANISHED_MARGIN;
+            if !is_listed
+                && is_silent
+                && machine.all_attempts_surely_ended(now, worker_lease, &shard.leadership.leader_lease)
+            {
                 vanished.push(machine_id.clone());
             }
         }
@@ -87,7 +90,7 @@
             );
             // The machine may have been rented before the monotonic clock of this process began. Its time of rental is
             // then taken as the beginning of the clock, so it gets its whole boot time again.
-            let booting = Booting::new(MachineClass { kind, zone, spot }, now - age);
+            let booting = BootingMachine::new(MachineClass { kind, zone, spot }, now - age);
             shard.fleet.booting.insert(machine, booting);
         }
     }
--- a/src/coordination/scale_in/mod.rs
+++ b/src/coordination/scale_in/mod.rs
@@ -4,7 +4,7 @@
 mod listed_machines;
 mod stale_records;
 
-pub(super) use deletion::RemovedMachines;
+pub(super) use deletion::DeletedMachines;
 
 use super::controller::Controller;
 use super::shard::{Machine, Shard};
@@ -56,7 +56,7 @@
 impl SilenceLimits {
     /// Returns the reachability of this node for the heartbeats of the machine.
     fn reachability(&self, machine: &Machine, now: Time) -> Reachability {
-        let silence = now.since(machine.seen);
+        let silence = now.since(machine.last_contact_at);
         let is_relayed = machine.relayed_at.is_some_and(|at| now.since(at) < self.grace_period);
         if machine.reconciled && silence < self.reachable_within && !is_relayed {
             return Reachability::Reachable;
@@ -65,7 +65,7 @@
             return Reachability::Undecided;
         }
         let delays_tasks = if machine.reconciled {
-            machine.unanswered > 0 && !machine.is_empty()
+            machine.unanswered_calls > 0 && !machine.is_empty()
         } else {
             silence >= RECONCILIATION_TIMEOUT
         };
@@ -99,7 +99,7 @@
         let silent: Vec<MachineId> = silent.into_iter().cloned().collect();
         for machine_id in silent {
             if let Some(machine) = shard.machines.get_mut(&machine_id) {
-                let silence_s = now.since(machine.seen).as_secs();
+                let silence_s = now.since(machine.last_contact_at).as_secs();
                 log::warn!(
                     "machine {machine_id}: silent for {silence_s:.1} s while tasks may be running on it; deleting it"
                 );
@@ -138,7 +138,8 @@
         let Shard { machines, fleet, leadership, .. } = shard;
         for (machine_id, machine) in machines {
             if machine.listed && !machine.deleting && machine.moving_to.is_none() {
-                machine.deleting = limits.should_delete(machine_id, machine, &fleet.spare, &leadership.leader_lease);
+                machine.deleting =
+                    limits.should_delete(machine_id, machine, &fleet.spare_machines, &leadership.leader_lease);
             }
         }
     }
@@ -155,17 +156,17 @@
 }
 
 impl DeletionLimits {
-    /// Returns `true` if a machine is to be deleted. `spare` holds the machines to which the last plan assigned no
-    /// work.
+    /// Returns `true` if a machine is to be deleted. `spare_machines` holds the machines to which the last plan assigned
+    /// no work.
     fn should_delete(
         &self,
         id: &MachineId,
         machine: &Machine,
-        spare: &HashSet<MachineId>,
+        spare_machines: &HashSet<MachineId>,
         leader_lease: &LeaderLease,
     ) -> bool {
         let is_idle = machine.is_empty() && machine.reconciled;
-        let is_idle_too_long = spare.contains(id) && self.now.since(machine.idle_since) >= self.idle_timeout;
+        let is_idle_too_long = spare_machines.contains(id) && self.now.since(machine.idle_since) >= self.idle_timeout;
         let is_quarantined = self.now < machine.quarantined_until;
         is_idle && (is_idle_too_long || is_quarantined)
             || self.loses_answers_too_long(machine)
@@ -183,7 +184,7 @@
     /// Returns `true` if a machine has been silent for long and its worker lease has expired, so that its tasks have
     /// been started elsewhere while the machine still costs money.
     fn is_dead(&self, machine: &Machine, leader_lease: &LeaderLease) -> bool {
-        machine.surely_dead(self.now, self.worker_lease, leader_lease)
-            && self.now.since(machine.seen) > self.worker_lease.times(MAX_DEAD_LEASES)
+        machine.all_attempts_surely_ended(self.now, self.worker_lease, leader_lease)
+            && self.now.since(machine.last_contact_at) > self.worker_lease.times(MAX_DEAD_LEASES)
     }
 }
--- a/src/coordination/scale_in/stale_records.rs
+++ b/src/coordination/scale_in/stale_records.rs
@@ -27,11 +27,11 @@
         let is_quiet = self.calls.is_quiet(now);
         let Some(leadership) = self.shards.get(&id).map(Shard::leadership_term) else { return };
         for _ in 0..if is_quiet { MAX_REMOVALS_AT_ONCE } else { 1 } {
-            let is_due = is_quiet || now.since(self.removed_machines.last_record_removal) >= REMOVAL_INTERVAL;
+            let is_due = is_quiet || now.since(self.deleted_machines.last_record_removal) >= REMOVAL_INTERVAL;
             if !is_due || !self.admits(TrafficClass::StaleRecord) || !self.remove_one_record(leadership) {
                 return;
             }
-            self.removed_machines.last_record_removal = now;
+            self.deleted_machines.last_record_removal = now;
         }
     }
 
--- a/src/coordination/scale_out/demand.rs
+++ b/src/coordination/scale_out/demand.rs
@@ -126,7 +126,7 @@
     /// has an objective for starting, the last of them also has to start within that objective.
     fn tasks_per_slot(&self, job: &Job) -> TasksPerSlot {
         let boot_s = self.cloud.catalog().map(|machine_type| machine_type.boot.as_secs()).fold(f64::MAX, f64::min);
-        let fetch_s = self.cloud.least_fetch(job.spec.image_gb);
+        let fetch_s = self.cloud.min_fetch_s(job.spec.image_gb);
         let waited_s = self.wall_clock_ms.saturating_sub(job.ready_ms) as f64 / 1000.0;
         let time_to_end_s = job.time_left_s(&self.settings, self.wall_clock_ms).map(|left| left * USABLE_TIME_FRACTION);
         let start_objective = self.settings.start_within.get(&job.spec.class);
--- a/src/coordination/scale_out/mod.rs
+++ b/src/coordination/scale_out/mod.rs
@@ -19,7 +19,7 @@
 use std::collections::HashMap;
 
 /// Interval at which the fleet is planned.
-pub(super) const PLAN_PAUSE: Span = Span::millis(1_000);
+pub(super) const PLAN_INTERVAL: Span = Span::millis(1_000);
 /// Time after leadership was acquired during which nothing is rented unless the cloud's machine list has been read.
 const MACHINE_LIST_TIMEOUT: Span = Span::millis(3_000);
 /// Time for which a machine requested from another shard counts as capacity.
@@ -38,7 +38,7 @@
             self.retry_transfers(*id);
             self.send_rentals(*id);
         }
-        if self.cloud.begin_plan(PLAN_PAUSE, now) {
+        if self.cloud.begin_plan(PLAN_INTERVAL, now) {
             for id in ids {
                 self.check_boots(id);
                 if let Some(shard) = self.shards.get_mut(&id) {
@@ -68,9 +68,9 @@
         let mut bins = self.packing_bins(shard);
         let unmet = unmet_demands(demands, &mut bins, self.cloud.types());
         let rentals = self.plan_rentals(id, unmet, &mut bins);
-        let spare = bins.into_iter().filter(|bin| !bin.used).filter_map(|bin| bin.id).collect();
+        let spare_machines = bins.into_iter().filter(|bin| !bin.used).filter_map(|bin| bin.id).collect();
         let Some(shard) = self.shards.get_mut(&id) else { return };
-        shard.fleet.spare = spare;
+        shard.fleet.spare_machines = spare_machines;
         for rental in rentals {
             self.add_rental(id, rental);
         }
--- a/src/coordination/scale_out/packing.rs
+++ b/src/coordination/scale_out/packing.rs
@@ -112,8 +112,8 @@
 /// Returns `true` if a machine that is up counts as capacity: it is not leaving, silent, quarantined or losing the
 /// answers to its heartbeats.
 fn is_capacity(machine: &Machine, now: Time, worker_lease: Span) -> bool {
-    let is_leaving = machine.draining || machine.deleting || machine.notice.is_some();
-    let is_silent = now.since(machine.seen) > worker_lease;
+    let is_leaving = machine.draining || machine.deleting || machine.reclaim_at.is_some();
+    let is_silent = now.since(machine.last_contact_at) > worker_lease;
     let is_quarantined = now < machine.quarantined_until;
     !is_leaving && !is_silent && !is_quarantined && !machine.loses_answers
 }
--- a/src/coordination/shard/attempts.rs
+++ b/src/coordination/shard/attempts.rs
@@ -49,7 +49,7 @@
             *usage = usage.plus(&attempt.needs);
         }
         if let Some(job) = self.jobs.get_mut(&attempt.task.job)
-            && attempt.stop.is_none()
+            && attempt.stop_grace_s.is_none()
         {
             let location = AttemptLocation { machine: machine.clone(), attempt: attempt_number };
             job.progress.started(attempt.task.task.0, location);
@@ -237,7 +237,7 @@
     pub fn stop_attempts_of(&mut self, job: &JobId) {
         let attempts = self.machines.values_mut().flat_map(|machine| machine.attempts.values_mut());
         for attempt in attempts.filter(|attempt| attempt.task.job == *job && !attempt.is_over()) {
-            attempt.stop = Some(0.0);
+            attempt.stop_grace_s = Some(0.0);
         }
     }
 
@@ -316,7 +316,7 @@
             sent_in: HeartbeatNumber::of(heartbeat),
             running_since: (status.state == TaskState::Running).then_some(now),
             progress: AttemptProgress::inherited(now),
-            stop: (!self.needs_attempt(&status.task) && !is_over).then_some(0.0),
+            stop_grace_s: (!self.needs_attempt(&status.task) && !is_over).then_some(0.0),
         }
     }
 
--- a/src/coordination/shard/fleet.rs
+++ b/src/coordination/shard/fleet.rs
@@ -10,18 +10,18 @@
 #[derive(Default)]
 pub(in crate::coordination) struct FleetState {
     /// Machines that were rented and are not up yet, by id.
-    pub booting: BTreeMap<MachineId, Booting>,
+    pub booting: BTreeMap<MachineId, BootingMachine>,
     /// Rental requests without a final answer, by request name.
     pub rentals: BTreeMap<String, Rental>,
     /// Machines offered by other shards whose transfer to this shard was requested recently.
     pub requested_offers: BTreeMap<MachineId, RequestedOffer>,
     /// Machines for which the last capacity plan had no work.
-    pub spare: HashSet<MachineId>,
+    pub spare_machines: HashSet<MachineId>,
     /// Machines whose transfer to another shard has to be written again, since the last write was refused or is in
     /// doubt.
     pub retry_transfers: Vec<MachineId>,
     /// Earliest time at which the next deletion request may be sent.
-    pub deleting_until: Time,
+    pub next_deletion_at: Time,
     /// Records of machines that are gone, still to be removed from the state service, with their versions.
     pub stale_machine_records: BTreeMap<MachineId, Revision>,
 }
@@ -122,7 +122,7 @@
 }
 
 /// Machine that was rented and is not up yet.
-pub(in crate::coordination) struct Booting {
+pub(in crate::coordination) struct BootingMachine {
     /// Machine type.
     pub kind: Name,
     /// Zone of the machine.
@@ -130,18 +130,18 @@
     /// `true` for a spot machine.
     pub spot: bool,
     /// Time at which the machine was rented, as far back as the clock of this process reaches.
-    pub since: Time,
+    pub rented_at: Time,
     /// `true` if the machine has been booting for longer than expected.
     pub overdue: bool,
     /// `true` if the machine is to be deleted.
     pub deleting: bool,
 }
 
-impl Booting {
-    /// Creates a machine that has been booting since the given time.
-    pub fn new(class: MachineClass, since: Time) -> Booting {
+impl BootingMachine {
+    /// Creates a machine that was rented at the given time.
+    pub fn new(class: MachineClass, rented_at: Time) -> BootingMachine {
         let MachineClass { kind, zone, spot } = class;
-        Booting { kind, zone, spot, since, overdue: false, deleting: false }
+        BootingMachine { kind, zone, spot, rented_at, overdue: false, deleting: false }
     }
 
     /// Returns the class of the machine: type, zone and spot flag.
--- a/src/coordination/shard/machine.rs
+++ b/src/coordination/shard/machine.rs
@@ -51,7 +51,7 @@
     pub progress: AttemptProgress,
     /// Time in seconds that the attempt has to save its progress before it is stopped. `None` if it is not to be
     /// stopped.
-    pub stop: Option<f64>,
+    pub stop_grace_s: Option<f64>,
 }
 
 /// State of a machine that is up.
@@ -72,7 +72,7 @@
     pub last_heartbeat: HeartbeatNumber,
     /// Time at which a heartbeat of the machine was last answered with 200. The worker lease starts no later than that.
     /// `None` if this leader has not answered any.
-    pub answered: Option<Time>,
+    pub last_answered_at: Option<Time>,
     /// `true` if all attempts on the machine are known: it has sent a heartbeat under the current fencing token, or no
     /// attempt can have been running on it before.
     pub reconciled: bool,
@@ -87,11 +87,11 @@
     /// Attempts on the machine, with those that are over and not forgotten yet.
     pub attempts: BTreeMap<AttemptNumber, Attempt>,
     /// Time at which the cloud will reclaim the machine. `None` if no reclaim was announced.
-    pub notice: Option<Time>,
+    pub reclaim_at: Option<Time>,
     /// Time from which no attempt has been running on the machine. Of no meaning while one is running.
     pub idle_since: Time,
     /// Time at which a message from the machine last arrived.
-    pub seen: Time,
+    pub last_contact_at: Time,
     /// `true` if the machine is drained: it gets no more tasks.
     pub draining: bool,
     /// Shard to which the machine is being transferred. While the outcome of the transfer is in doubt, no task is
@@ -106,11 +106,11 @@
     /// Images that are probably in the machine's cache, the most recently used last.
     images: Vec<CachedImage>,
     /// `true` while a direct call is in flight that probes whether the machine is alive.
-    pub probing: bool,
+    pub probe_in_flight: bool,
     /// Time at which another controller last relayed a heartbeat of the machine. `None` if none was relayed.
     pub relayed_at: Option<Time>,
     /// Number of direct calls without an answer since the machine was last heard from.
-    pub unanswered: u32,
+    pub unanswered_calls: u32,
     /// `true` once the cloud's machine list has contained the machine, so that the machine can be returned.
     pub listed: bool,
 }
@@ -150,9 +150,9 @@
     /// The answer to the commit may be lost while another controller reads the final record and reports it to users.
     /// The time within which the tasks must stop runs from that report, even if this controller can't reach the state
     /// service to learn of the outcome.
-    pub fn stop_within(&self, jobs: &HashMap<JobId, Job>) -> Option<f64> {
+    pub fn save_time_before_stop_s(&self, jobs: &HashMap<JobId, Job>) -> Option<f64> {
         let cancelled = jobs.get(&self.task.job).is_some_and(|job| job.ending == Some(FinalState::Cancelled));
-        if cancelled { Some(0.0) } else { self.stop }
+        if cancelled { Some(0.0) } else { self.stop_grace_s }
     }
 
     /// Returns `true` if the job of the attempt, and with it the team, is unknown.
@@ -178,24 +178,24 @@
             version,
             token: FencingToken(term.0.max(version.0)),
             last_heartbeat: HeartbeatNumber::NONE,
-            answered: None,
+            last_answered_at: None,
             reconciled: false,
             answer_loss: AnswerLossDetector::default(),
             loses_answers: false,
             reconciled_by: Time::ZERO,
             attempts: BTreeMap::new(),
-            notice: None,
+            reclaim_at: None,
             idle_since: now,
-            seen: now,
+            last_contact_at: now,
             draining: false,
             moving_to: None,
             deleting: false,
             failed_jobs: BTreeSet::new(),
             quarantined_until: Time::ZERO,
             images: Vec::new(),
-            probing: false,
+            probe_in_flight: false,
             relayed_at: None,
-            unanswered: 0,
+            unanswered_calls: 0,
             listed: false,
         }
     }
@@ -203,7 +203,7 @@
     /// Returns the time after which no attempt on the machine can still be running, unless another leader has renewed
     /// the worker lease.
     pub fn worker_lease_end(&self, worker_lease: Span) -> Time {
-        let end = self.answered.map_or(Time::ZERO, |at| at + worker_lease.stretched() + WORKER_LEASE_MARGIN);
+        let end = self.last_answered_at.map_or(Time::ZERO, |at| at + worker_lease.stretched() + WORKER_LEASE_MARGIN);
         if self.reconciled { end } else { end.max(self.reconciled_by) }
     }
 
@@ -211,7 +211,7 @@
     ///
     /// The end of the worker lease counts only once this leadership term has been confirmed after it. Otherwise a
     /// leader that has replaced this node may have renewed the lease.
-    pub fn surely_dead(&self, now: Time, worker_lease: Span, leader_lease: &LeaderLease) -> bool {
+    pub fn all_attempts_surely_ended(&self, now: Time, worker_lease: Span, leader_lease: &LeaderLease) -> bool {
         let end = self.worker_lease_end(worker_lease);
         now > end && leader_lease.confirmed_since(end)
     }
@@ -224,7 +224,7 @@
 
     /// Returns the resources of all attempts that are neither over nor to be stopped.
     pub fn committed_resources(&self) -> Resources {
-        let live = self.attempts.values().filter(|attempt| !attempt.is_over() && attempt.stop.is_none());
+        let live = self.attempts.values().filter(|attempt| !attempt.is_over() && attempt.stop_grace_s.is_none());
         live.fold(Resources::default(), |sum, attempt| sum.plus(&attempt.needs))
     }
 
@@ -239,7 +239,7 @@
             && !self.loses_answers
             && !self.draining
             && !self.deleting
-            && self.notice.is_none()
+            && self.reclaim_at.is_none()
             && now >= self.quarantined_until
     }
 
@@ -254,7 +254,7 @@
             .map(|(attempt_number, _)| attempt_number)
             .peekable();
         if sent.peek().is_none() {
-            return if self.answered.is_some() && heartbeat.token < self.token {
+            return if self.last_answered_at.is_some() && heartbeat.token < self.token {
                 AnswerEvidence::Missing
             } else {
                 AnswerEvidence::NotExpected
--- a/src/coordination/shard/mod.rs
+++ b/src/coordination/shard/mod.rs
@@ -11,7 +11,7 @@
 mod task_runtimes;
 mod waiting_jobs;
 
-pub(super) use fleet::{Booting, FleetState, Rental, RequestedOffer};
+pub(super) use fleet::{BootingMachine, FleetState, Rental, RequestedOffer};
 use job::JobProgress;
 pub(super) use job::{AttemptLocation, Job, QueueOrder};
 pub(super) use job_queue::JobQueue;
@@ -225,10 +225,10 @@
     /// Returns the idle machines that this shard does not need and offers to other shards.
     pub fn offers(&self, now: Time) -> Vec<MachineOffer> {
         let offered = self.machines.iter().filter(|(id, machine)| {
-            self.fleet.spare.contains(*id)
+            self.fleet.spare_machines.contains(*id)
                 && machine.accepts_tasks(now)
                 && machine.attempts.is_empty()
-                && now.since(machine.seen) < MAX_OFFERED_SILENCE
+                && now.since(machine.last_contact_at) < MAX_OFFERED_SILENCE
         });
         offered
             .map(|(id, machine)| MachineOffer {
--- a/src/coordination/shard/task_runtimes/tests.rs
+++ b/src/coordination/shard/task_runtimes/tests.rs
@@ -58,7 +58,7 @@
             sent_in: HeartbeatNumber { epoch: AgentEpoch(1), seq: SequenceNumber(self.seq) },
             running_since: None,
             progress: AttemptProgress::default(),
-            stop: None,
+            stop_grace_s: None,
         };
         self.shard.place(&self.machine, AttemptNumber(attempt_number), attempt);
     }
--- a/src/coordination/shard_recovery/machine_queries.rs
+++ b/src/coordination/shard_recovery/machine_queries.rs
@@ -88,7 +88,7 @@
             Ok(answer) if holds_lease => ReconciliationAnswer::of(answer, id, machine),
             Ok(_) => ReconciliationAnswer::Unusable,
             Err(_) => {
-                machine.unanswered += 1;
+                machine.unanswered_calls += 1;
                 ReconciliationAnswer::Unusable
             }
         };
@@ -107,11 +107,11 @@
         let Some(shard) = self.shards.get_mut(&shard_id) else { return };
         let Some(machine) = shard.machines.get_mut(id) else { return };
         machine.last_heartbeat = HeartbeatNumber::of(heartbeat);
-        machine.seen = now;
+        machine.last_contact_at = now;
         machine.reconciled_by = machine.reconciled_by.max(now);
         // The worker lease was granted by the leader that answered last, and may run on until the machine sends a
         // heartbeat to this node.
-        machine.answered = Some(machine.answered.map_or(now, |at| at.max(now)));
+        machine.last_answered_at = Some(machine.last_answered_at.map_or(now, |at| at.max(now)));
         shard.apply_heartbeat(heartbeat, now);
         shard.mark_reconciled(id, now);
         self.finish_jobs(shard_id);
--- a/src/coordination/user_requests/cancellation.rs
+++ b/src/coordination/user_requests/cancellation.rs
@@ -47,7 +47,7 @@
             && job.ending.is_none()
         {
             job.ending = Some(FinalState::Cancelled);
-            self.stop_unstarted(shard_id, id);
+            self.stop_unstarted_attempts(shard_id, id);
         }
     }
 
--- a/src/coordination/worker_heartbeats/direct_calls.rs
+++ b/src/coordination/worker_heartbeats/direct_calls.rs
@@ -52,9 +52,10 @@
         let Some(shard) = self.shards.get_mut(&shard_id) else { return };
         let mut calls = Vec::new();
         for (id, machine) in &mut shard.machines {
-            let is_silent = machine.reconciled && now.since(machine.seen) > max_silence && !machine.is_empty();
-            if is_silent && !machine.probing && !machine.deleting {
-                machine.probing = true;
+            let is_silent =
+                machine.reconciled && now.since(machine.last_contact_at) > max_silence && !machine.is_empty();
+            if is_silent && !machine.probe_in_flight && !machine.deleting {
+                machine.probe_in_flight = true;
                 calls.push(DirectCall::new(id, machine, Vec::new()));
             }
         }
@@ -72,25 +73,25 @@
         let now = self.now;
         let Some(shard) = self.shard_in_term(leadership) else { return };
         let Some(machine) = shard.machines.get_mut(&id) else { return };
-        machine.probing = false;
+        machine.probe_in_flight = false;
         match answer {
             answer if !machine.reconciled => self.reconciliation_answered(shard_id, &id, answer),
             // The machine is up. Its task list is not applied: a start command in the answer to one of its heartbeats
             // may still be on its way, and the attempt would seem to be lost.
             Ok(WorkerAnswer::Executed(heartbeat) | WorkerAnswer::Rejected(heartbeat)) if heartbeat.machine == id => {
-                machine.seen = now;
-                machine.unanswered = 0;
+                machine.last_contact_at = now;
+                machine.unanswered_calls = 0;
             }
             // Another machine answers at this address now.
             Ok(_) => {}
-            Err(_) => machine.unanswered += 1,
+            Err(_) => machine.unanswered_calls += 1,
         }
     }
 
     /// Stops the attempts of a cancelled job that were sent to a machine and have not been reported running. Without
     /// the direct call they could begin to run before the next heartbeat of their machine, after the user was told that
     /// the job is cancelled. Running attempts are stopped in answers to heartbeats.
-    pub(in crate::coordination) fn stop_unstarted(&mut self, shard_id: ShardId, job_id: &JobId) {
+    pub(in crate::coordination) fn stop_unstarted_attempts(&mut self, shard_id: ShardId, job_id: &JobId) {
         let Some(shard) = self.shards.get(&shard_id) else { return };
         let Some(job) = shard.jobs.get(job_id) else { return };
         let mut calls = Vec::new();
@@ -144,7 +145,7 @@
         let stops = victims.iter().filter_map(|number| {
             let attempt = machine.attempts.get(number)?;
             log::debug!("task {} on machine {id}: preempted; sending a stop command to the worker", attempt.task);
-            Some(Command::Stop { task: attempt.task.clone(), attempt: *number, grace_s: attempt.stop? })
+            Some(Command::Stop { task: attempt.task.clone(), attempt: *number, grace_s: attempt.stop_grace_s? })
         });
         Some(DirectCall::new(id, machine, stops.collect()))
     }
--- a/src/coordination/worker_heartbeats/graceful_eviction.rs
+++ b/src/coordination/worker_heartbeats/graceful_eviction.rs
@@ -17,12 +17,14 @@
     /// the cloud has announced nothing for the machine.
     pub(super) fn plan_graceful_eviction(&mut self, id: &MachineId, context: &PlacementContext) {
         let Some(machine) = self.machines.get_mut(id) else { return };
-        let Some(taken_at) = machine.notice else { return };
-        let remaining_s = taken_at.since(context.now).as_secs();
-        for attempt in machine.attempts.values_mut().filter(|attempt| !attempt.is_over() && attempt.stop.is_none()) {
+        let Some(reclaim_at) = machine.reclaim_at else { return };
+        let remaining_s = reclaim_at.since(context.now).as_secs();
+        for attempt in
+            machine.attempts.values_mut().filter(|attempt| !attempt.is_over() && attempt.stop_grace_s.is_none())
+        {
             let Some(job) = self.jobs.get(&attempt.task.job) else { continue };
             if let Some(grace_s) = eviction_grace_s(job, attempt, remaining_s, context) {
-                attempt.stop = Some(grace_s);
+                attempt.stop_grace_s = Some(grace_s);
             }
         }
     }
--- a/src/coordination/worker_heartbeats/mod.rs
+++ b/src/coordination/worker_heartbeats/mod.rs
@@ -133,7 +133,7 @@
             .machines
             .iter()
             .filter(|(_, machine)| !machine.reconciled || !machine.attempts.is_empty())
-            .filter(|(_, machine)| machine.surely_dead(now, worker_lease, leader_lease))
+            .filter(|(_, machine)| machine.all_attempts_surely_ended(now, worker_lease, leader_lease))
             .map(|(id, _)| id.clone())
             .collect();
         for machine_id in &dead {
--- a/src/coordination/worker_heartbeats/registration.rs
+++ b/src/coordination/worker_heartbeats/registration.rs
@@ -168,7 +168,7 @@
             self.shards.values().any(|shard| shard.fleet.stale_machine_records.contains_key(machine));
         let was_answered = heartbeat.token > FencingToken(0);
         record_is_being_removed
-            || self.removed_machines.contains(machine)
+            || self.deleted_machines.contains(machine)
             || was_answered && !self.cloud.machine_list().contains(machine)
     }
 
--- a/src/coordination/worker_heartbeats/serving.rs
+++ b/src/coordination/worker_heartbeats/serving.rs
@@ -117,21 +117,21 @@
         let number = HeartbeatNumber::of(heartbeat);
         if number <= self.last_heartbeat {
             // The heartbeat was delayed, or overtaken by the answer to a direct call.
-            self.answered = Some(now);
+            self.last_answered_at = Some(now);
             return TaskListValidity::Outdated;
         }
         let answer_evidence = self.answer_evidence(heartbeat);
-        self.answer_loss.record_heartbeat(now, heartbeat.epoch, answer_evidence, self.answered, worker_lease);
-        let was_never_used = self.reconciled && self.answered.is_none() && self.attempts.is_empty();
+        self.answer_loss.record_heartbeat(now, heartbeat.epoch, answer_evidence, self.last_answered_at, worker_lease);
+        let was_never_used = self.reconciled && self.last_answered_at.is_none() && self.attempts.is_empty();
         self.last_heartbeat = number;
-        self.seen = now;
+        self.last_contact_at = now;
         if is_relayed {
             self.relayed_at = Some(now);
         }
-        self.unanswered = 0;
+        self.unanswered_calls = 0;
         self.addr = heartbeat.addr;
-        self.answered = Some(now);
-        self.notice = heartbeat.notice.map(|remaining| now + remaining);
+        self.last_answered_at = Some(now);
+        self.reclaim_at = heartbeat.notice.map(|remaining| now + remaining);
         // Only a heartbeat that was sent after the present token had reached the worker shows the outcome of a former
         // leader's commands: an older heartbeat may have been sent before the worker received them. A new machine that
         // was never answered cannot have received any command.
@@ -162,7 +162,7 @@
             .is_some_and(|job| job.progress.done.contains(task.task.0) && !job.record.recorded.contains(task.task.0));
         return (!result_is_unrecorded).then_some(Command::Forget { task, attempt: number });
     }
-    let grace_s = attempt.stop_within(jobs)?;
+    let grace_s = attempt.save_time_before_stop_s(jobs)?;
     let is_saving = attempt.state == Some(TaskState::Saving);
     (!(is_saving && grace_s > 0.0)).then_some(Command::Stop { task, attempt: number, grace_s })
 }
