--- a/crates/dependencies/src/graph/inheritance.rs
+++ b/crates/dependencies/src/graph/inheritance.rs
@@ -19,14 +19,14 @@
         let mut stack = vec![(Visit { index, depth: 0 }, urgency)];
         while let Some((Visit { index, depth }, urgency)) = stack.pop() {
             let node = &self.graph[index];
-            let run_ms = node.own_urgency.run_ms;
-            let raised = Urgency { run_ms, ..node.inherited_urgency.combine(&urgency) };
+            let expected_run_ms = node.own_urgency.expected_run_ms;
+            let raised = Urgency { expected_run_ms, ..node.inherited_urgency.combine(&urgency) };
             let is_unchanged = raised == node.inherited_urgency && depth > 0;
             if node.is_withdrawn() || is_unchanged || depth > max_depth {
                 continue;
             }
             self.set_inherited_urgency(index, raised);
-            let inherited = raised.for_prerequisites(run_ms);
+            let inherited = raised.for_prerequisites(expected_run_ms);
             stack.extend(self.prerequisites_of(index).map(|index| (Visit { index, depth: depth + 1 }, inherited)));
         }
     }
@@ -51,7 +51,7 @@
         let dependents = self.dependents_of(index).map(|dependent| &self.graph[dependent]);
         let inherited = dependents
             .filter(|dependent| !dependent.is_withdrawn())
-            .map(|dependent| dependent.inherited_urgency.for_prerequisites(dependent.own_urgency.run_ms));
+            .map(|dependent| dependent.inherited_urgency.for_prerequisites(dependent.own_urgency.expected_run_ms));
         inherited.fold(self.graph[index].own_urgency, |urgency, inherited| urgency.combine(&inherited))
     }
 
--- a/crates/dependencies/src/urgency.rs
+++ b/crates/dependencies/src/urgency.rs
@@ -10,15 +10,15 @@
     /// Time by which the job should be done. `None` if the job has no deadline.
     pub due_ms: Option<u64>,
     /// Time until which the job's result is still of use. `None` if the job has no deadline.
-    pub late_ms: Option<u64>,
+    pub useful_until_ms: Option<u64>,
     /// Expected run time of the job's own tasks in milliseconds.
-    pub run_ms: u64,
+    pub expected_run_ms: u64,
 }
 
 impl Default for Urgency {
     /// Returns an urgency with the lowest priority, no due times and no run time.
     fn default() -> Urgency {
-        Urgency { priority: Priority::BestEffort, due_ms: None, late_ms: None, run_ms: 0 }
+        Urgency { priority: Priority::BestEffort, due_ms: None, useful_until_ms: None, expected_run_ms: 0 }
     }
 }
 
@@ -28,16 +28,16 @@
         Urgency {
             priority: self.priority.min(other.priority),
             due_ms: earlier(self.due_ms, other.due_ms),
-            late_ms: earlier(self.late_ms, other.late_ms),
-            run_ms: self.run_ms,
+            useful_until_ms: earlier(self.useful_until_ms, other.useful_until_ms),
+            expected_run_ms: self.expected_run_ms,
         }
     }
 
     /// Returns the urgency that the prerequisites of a job with this urgency inherit: their due times are earlier by
-    /// `run_ms`, the expected run time of the job itself.
-    pub fn for_prerequisites(&self, run_ms: u64) -> Urgency {
-        let subtract_run = |time: Option<u64>| time.map(|time| time.saturating_sub(run_ms));
-        Urgency { due_ms: subtract_run(self.due_ms), late_ms: subtract_run(self.late_ms), ..*self }
+    /// `expected_run_ms`, the expected run time of the job itself.
+    pub fn for_prerequisites(&self, expected_run_ms: u64) -> Urgency {
+        let subtract_run = |time: Option<u64>| time.map(|time| time.saturating_sub(expected_run_ms));
+        Urgency { due_ms: subtract_run(self.due_ms), useful_until_ms: subtract_run(self.useful_until_ms), ..*self }
     }
 }
 
--- a/crates/dependencies/tests/dependency_graph.rs
+++ b/crates/dependencies/tests/dependency_graph.rs
@@ -24,8 +24,13 @@
 fn random_urgency(rng: &mut SmallRng) -> Urgency {
     let priorities = [Priority::Production, Priority::High, Priority::Normal, Priority::BestEffort];
     let due_ms = rng.random_bool(0.4).then(|| rng.random_range(1_000..90_000));
-    let late_ms = due_ms.map(|due| due * 3 / 2);
-    Urgency { priority: priorities[rng.random_range(0..4)], due_ms, late_ms, run_ms: rng.random_range(0..5_000) }
+    let useful_until_ms = due_ms.map(|due| due * 3 / 2);
+    Urgency {
+        priority: priorities[rng.random_range(0..4)],
+        due_ms,
+        useful_until_ms,
+        expected_run_ms: rng.random_range(0..5_000),
+    }
 }
 
 /// All jobs by number, with the content of their records.
@@ -71,7 +76,7 @@
         let dependents = self.jobs.keys().filter(is_dependent).filter(|other| !withdrawn.contains(&id(**other)));
         dependents.fold(self.jobs[&job].urgency, |urgency, other| {
             let inherited = self.inherited_urgency(withdrawn, *other);
-            urgency.combine(&inherited.for_prerequisites(self.jobs[other].urgency.run_ms))
+            urgency.combine(&inherited.for_prerequisites(self.jobs[other].urgency.expected_run_ms))
         })
     }
 }
@@ -253,7 +258,8 @@
     assert_eq!(graph.dependency_status(&id(5), &in_doubt), DependencyStatus::Waiting);
 }
 
-const LONG_DUE: Urgency = Urgency { priority: Priority::High, due_ms: Some(90_000_000), late_ms: None, run_ms: 1_000 };
+const LONG_DUE: Urgency =
+    Urgency { priority: Priority::High, due_ms: Some(90_000_000), useful_until_ms: None, expected_run_ms: 1_000 };
 
 /// Guards against recursive traversals, which would overflow the stack on a chain of 20,000 jobs.
 #[test]
@@ -262,7 +268,7 @@
     let last = 20_000;
     graph.mark_runnable(&id(0), Urgency::default());
     for number in 1..=last {
-        let urgency = if number == last { LONG_DUE } else { Urgency { run_ms: 1_000, ..Urgency::default() } };
+        let urgency = if number == last { LONG_DUE } else { Urgency { expected_run_ms: 1_000, ..Urgency::default() } };
         graph.add_waiting(&id(number), &[id(number - 1)], urgency);
     }
     graph.mark_runnable(&id(0), Urgency::default());
--- a/src/coordination/controller.rs
+++ b/src/coordination/controller.rs
@@ -80,7 +80,7 @@
     /// Requests of this node's clients that were forwarded to other controllers and are not answered yet.
     pub(super) forwarded: ForwardedRequests,
     /// Requests of users that wait for an answer of the state service.
-    pub(super) users: UserRequests,
+    pub(super) user_requests: UserRequests,
     /// Cache of the shards of jobs and machines, and of the final records of ended jobs.
     pub(super) directory: Directory,
     /// Machines that wait until their records may be written.
@@ -118,7 +118,7 @@
             shards: BTreeMap::new(),
             recoveries: RecoveryLog::new(now),
             forwarded: ForwardedRequests::default(),
-            users: UserRequests::default(),
+            user_requests: UserRequests::default(),
             directory: Directory::new(settings.properties.ended_jobs_kept),
             registrations: Registrations::default(),
             deleted_machines: DeletedMachines::default(),
@@ -281,7 +281,7 @@
             }
             ClientRequest::WorkerHeartbeat(heartbeat) => self.handle_heartbeat(requester, heartbeat),
             ClientRequest::Submit(Ok(spec)) => self.submit(requester, spec),
-            ClientRequest::Submit(Err(invalid)) => self.reject(requester, invalid),
+            ClientRequest::Submit(Err(invalid)) => self.reject_invalid_submission(requester, invalid),
             ClientRequest::Poll(job) => self.poll(requester, job),
             ClientRequest::Cancel(job) => self.cancel(requester, job),
             ClientRequest::Forecast(job) => self.forecast(requester, job),
@@ -373,11 +373,11 @@
         }
         match request {
             ForwardedRequest::Submit(spec) | ForwardedRequest::SubmitWaiting(spec) => {
-                self.submit_here(requester, shard, *spec);
+                self.submit_as_leader(requester, shard, *spec);
             }
-            ForwardedRequest::Poll(job) => self.poll_here(requester, shard, job),
-            ForwardedRequest::Cancel(job) => self.cancel_here(requester, shard, job),
-            ForwardedRequest::Forecast(job) => self.forecast_here(requester, shard, job),
+            ForwardedRequest::Poll(job) => self.poll_as_leader(requester, shard, job),
+            ForwardedRequest::Cancel(job) => self.cancel_as_leader(requester, shard, job),
+            ForwardedRequest::Forecast(job) => self.forecast_as_leader(requester, shard, job),
             ForwardedRequest::WorkerHeartbeat(heartbeat) => self.handle_heartbeat(requester, heartbeat),
         }
     }
--- a/src/coordination/dependencies/prerequisite_ends.rs
+++ b/src/coordination/dependencies/prerequisite_ends.rs
@@ -16,8 +16,8 @@
     pub(in crate::coordination) fn prerequisite_ended(&mut self, id: &JobId, state: FinalState) {
         let mut shards_with_due = Vec::new();
         for shard in self.shards.values_mut() {
-            shard.dependencies.record_end(id, state);
-            if shard.dependencies.has_due_records() && shard.is_active() {
+            shard.waiting_jobs.record_end(id, state);
+            if shard.waiting_jobs.has_due_records() && shard.is_active() {
                 shards_with_due.push(shard.id);
             }
         }
@@ -34,7 +34,7 @@
         if !self.admits(TrafficClass::BackgroundRead) {
             return;
         }
-        if let Some(first) = self.shards.get_mut(&shard_id).and_then(|shard| shard.dependencies.begin_scan(now)) {
+        if let Some(first) = self.shards.get_mut(&shard_id).and_then(|shard| shard.waiting_jobs.begin_scan(now)) {
             self.list_final_records(shard_id, &first);
         }
     }
@@ -43,7 +43,7 @@
     fn use_known_ends(&mut self, shard_id: ShardId) {
         let Some(shard) = self.shards.get(&shard_id) else { return };
         let has_ended = |id: &&JobId| self.directory.has_ended(id);
-        let ended: Vec<JobId> = shard.dependencies.unknown_prerequisites().filter(has_ended).cloned().collect();
+        let ended: Vec<JobId> = shard.waiting_jobs.unknown_prerequisites().filter(has_ended).cloned().collect();
         for id in ended {
             if let Some(state) = self.directory.end_of(&id).map(|end| end.state) {
                 self.prerequisite_ended(&id, state);
@@ -65,9 +65,9 @@
         let now = self.now;
         let Some(shard) = self.shard_in_term(leadership) else { return };
         let Ok(StateAnswer::Page { entries, more, .. }) = answer else {
-            return shard.dependencies.scan_failed(now);
+            return shard.waiting_jobs.scan_failed(now);
         };
-        let page = shard.dependencies.page_listed(&entries, more, now);
+        let page = shard.waiting_jobs.page_listed(&entries, more, now);
         for prerequisite in page.ended {
             let state = prerequisite.end.state;
             self.directory.record_end(prerequisite.job.clone(), prerequisite.end);
--- a/src/coordination/dependencies/prerequisite_parts.rs
+++ b/src/coordination/dependencies/prerequisite_parts.rs
@@ -16,7 +16,7 @@
     pub(super) fn read_parts(&mut self, shard_id: ShardId) {
         let Some(shard) = self.shards.get_mut(&shard_id) else { return };
         let leadership = shard.leadership_term();
-        for found in shard.dependencies.begin_part_reads() {
+        for found in shard.waiting_jobs.begin_part_reads() {
             self.read_part(PartRead { leadership, found, part: 0 });
         }
     }
@@ -32,14 +32,14 @@
         let PartRead { leadership, found: VersionedRecord { mut record, version }, part } = read;
         let Some(shard) = self.shard_in_term(leadership) else { return };
         let Some(part_record) = parse_part(answer) else {
-            return shard.dependencies.part_read_failed(&record.job.id);
+            return shard.waiting_jobs.part_read_failed(&record.job.id);
         };
         record.job.prerequisites.extend(part_record.needs);
         if part + 1 < record.parts {
             let found = VersionedRecord { record, version };
             return self.read_part(PartRead { leadership, found, part: part + 1 });
         }
-        shard.dependencies.parts_complete(&record.job.id);
+        shard.waiting_jobs.parts_complete(&record.job.id);
         shard.add_waiting_job(record, version);
     }
 
--- a/src/coordination/dependencies/requests.rs
+++ b/src/coordination/dependencies/requests.rs
@@ -15,7 +15,7 @@
         let Some(shard) = self.shards.get(&shard_id) else {
             return self.reply(requester, Reply::busy(BusyReason::NotLeader));
         };
-        let reply = match shard.dependencies.status(&id) {
+        let reply = match shard.waiting_jobs.status(&id) {
             WaitingStatus::Loading => Reply::busy(BusyReason::LoadingPrerequisites),
             WaitingStatus::Withdrawn(cause) => final_reply(&id, &cancelled_before_start(Some(cause))),
             WaitingStatus::WriteInProgress => Reply::busy(BusyReason::FinalWritePending),
@@ -24,7 +24,7 @@
                 return self.look_up_job(requester, id, LookupPurpose::DependencyTraversal);
             }
             WaitingStatus::Waiting => {
-                Reply::json(200, &JobView::waiting(&id, shard.dependencies.open_prerequisites(&id)))
+                Reply::json(200, &JobView::waiting(&id, shard.waiting_jobs.open_prerequisites(&id)))
             }
         };
         self.reply(requester, reply);
@@ -34,11 +34,11 @@
     pub(in crate::coordination) fn cancel_waiting_job(&mut self, requester: Requester, shard_id: ShardId, id: JobId) {
         let now = self.now;
         let Some(shard) = self.shards.get_mut(&shard_id) else { return };
-        if let Some(cause) = shard.dependencies.withdrawn_with(&id) {
+        if let Some(cause) = shard.waiting_jobs.withdrawn_with(&id) {
             return self.reply(requester, final_reply(&id, &cancelled_before_start(Some(cause))));
         }
         let may_record = shard.may_record_cancellations(now);
-        let Some(job) = shard.dependencies.waiting_job_mut(&id) else {
+        let Some(job) = shard.waiting_jobs.waiting_job_mut(&id) else {
             return self.reply(requester, Reply::busy(BusyReason::LoadingPrerequisites));
         };
         job.request_cancellation();
@@ -46,7 +46,7 @@
             return self.reply(requester, Reply::busy(BusyReason::LeadershipOverlap));
         }
         job.add_cancel_requester(requester);
-        shard.dependencies.mark_record_due(id.clone());
+        shard.waiting_jobs.mark_record_due(id.clone());
         self.perform_record_step(shard_id, &id);
     }
 }
--- a/src/coordination/dependencies/waiting_records.rs
+++ b/src/coordination/dependencies/waiting_records.rs
@@ -19,12 +19,12 @@
     /// Writes or reads the due records of waiting jobs, as far as the rate limits allow.
     pub(super) fn write_due_records(&mut self, shard_id: ShardId) {
         let (now, retry_pause) = (self.now, self.settings.properties.progress_interval);
-        let Some(shard) = self.shards.get(&shard_id).filter(|shard| shard.dependencies.has_due_records()) else {
+        let Some(shard) = self.shards.get(&shard_id).filter(|shard| shard.waiting_jobs.has_due_records()) else {
             return;
         };
-        for id in shard.dependencies.jobs_with_due_records(now, retry_pause) {
+        for id in shard.waiting_jobs.jobs_with_due_records(now, retry_pause) {
             let Some(shard) = self.shards.get(&shard_id) else { return };
-            let Some(urgency) = shard.dependencies.write_urgency(&id) else { continue };
+            let Some(urgency) = shard.waiting_jobs.write_urgency(&id) else { continue };
             if !self.limits_allow_write(urgency) {
                 return;
             }
@@ -47,7 +47,7 @@
         if !self.may_decide(shard_id) {
             return;
         }
-        let Some(step) = self.shards.get(&shard_id).and_then(|shard| shard.dependencies.next_step(id)) else { return };
+        let Some(step) = self.shards.get(&shard_id).and_then(|shard| shard.waiting_jobs.next_step(id)) else { return };
         match step {
             RecordStep::Read => {
                 let request = JobRecordKind::Live.request(id);
@@ -57,7 +57,7 @@
             RecordStep::Release => self.write_release(shard_id, id),
             RecordStep::Wait => {
                 if let Some(shard) = self.shards.get_mut(&shard_id) {
-                    shard.dependencies.clear_record_due(id);
+                    shard.waiting_jobs.clear_record_due(id);
                 }
             }
         }
@@ -67,7 +67,7 @@
     fn write_cancellation(&mut self, shard_id: ShardId, id: &JobId, cause: Option<JobId>) {
         let now = self.now;
         let Some(shard) = self.shards.get(&shard_id) else { return };
-        let Some(job) = shard.dependencies.waiting_job(id) else { return };
+        let Some(job) = shard.waiting_jobs.waiting_job(id) else { return };
         if !shard.may_record_cancellations(now) {
             return;
         }
@@ -82,7 +82,7 @@
     /// Releases a job all of whose prerequisites are done, by writing the record of a runnable job.
     fn write_release(&mut self, shard_id: ShardId, id: &JobId) {
         let Some(shard) = self.shards.get(&shard_id) else { return };
-        let Some(job) = shard.dependencies.waiting_job(id) else { return };
+        let Some(job) = shard.waiting_jobs.waiting_job(id) else { return };
         let record = job.released_record(shard_id, self.wall_clock_ms);
         let key = keys::live_key(id);
         let request = StateCall::Commit {
@@ -101,7 +101,7 @@
         operation: WaitingRecordOperation,
     ) {
         let Some(shard) = self.shards.get_mut(&shard_id) else { return };
-        let Some(job) = shard.dependencies.waiting_job_mut(id) else { return };
+        let Some(job) = shard.waiting_jobs.waiting_job_mut(id) else { return };
         job.call_sent();
         let leadership = shard.leadership_term();
         self.call_state(request, DependencyOperation::WaitingJob { leadership, job: id.clone(), operation });
@@ -110,13 +110,13 @@
     /// Marks the cancellation of a job as in doubt in all shards of this node, since other controllers may read it from
     /// now on.
     pub(in crate::coordination) fn mark_cancellation_in_doubt(&mut self, id: &JobId) {
-        self.shards.values_mut().for_each(|shard| shard.dependencies.mark_in_doubt(id));
+        self.shards.values_mut().for_each(|shard| shard.waiting_jobs.mark_in_doubt(id));
     }
 
     /// Ends the doubt about a job's cancellation in all shards of this node, once no write of it can be executed any
     /// more.
     pub(in crate::coordination) fn clear_cancellation_doubt(&mut self, id: &JobId) {
-        self.shards.values_mut().for_each(|shard| shard.dependencies.clear_doubt(id));
+        self.shards.values_mut().for_each(|shard| shard.waiting_jobs.clear_doubt(id));
     }
 
     /// Handles the answer to a read or write of a waiting job's record.
@@ -129,7 +129,7 @@
     ) {
         let shard_id = leadership.shard;
         let Some(shard) = self.shard_in_term(leadership) else { return };
-        let Some(job) = shard.dependencies.waiting_job_mut(&id) else { return };
+        let Some(job) = shard.waiting_jobs.waiting_job_mut(&id) else { return };
         job.call_answered();
         if self.step_down_on_conflict(shard_id, &answer) {
             return;
@@ -181,7 +181,7 @@
     /// Handles a live record that was read after a write without an answer and still shows a waiting job.
     fn job_still_waits(&mut self, shard_id: ShardId, id: &JobId, version: Revision) {
         let Some(shard) = self.shards.get_mut(&shard_id) else { return };
-        let Some(job) = shard.dependencies.waiting_job_mut(id) else { return };
+        let Some(job) = shard.waiting_jobs.waiting_job_mut(id) else { return };
         job.live_record_read(version);
         if !job.is_final_write_in_doubt() {
             self.clear_cancellation_doubt(id);
@@ -192,7 +192,7 @@
     fn waiting_call_failed(&mut self, shard_id: ShardId, id: &JobId) {
         let now = self.now;
         let Some(shard) = self.shards.get_mut(&shard_id) else { return };
-        if let Some(job) = shard.dependencies.waiting_job_mut(id) {
+        if let Some(job) = shard.waiting_jobs.waiting_job_mut(id) {
             job.call_failed(now);
         }
     }
@@ -201,7 +201,7 @@
     fn waiting_write_refused(&mut self, shard_id: ShardId, id: &JobId) {
         let now = self.now;
         let Some(shard) = self.shards.get_mut(&shard_id) else { return };
-        let Some(job) = shard.dependencies.waiting_job_mut(id) else { return };
+        let Some(job) = shard.waiting_jobs.waiting_job_mut(id) else { return };
         job.call_failed(now);
         let requesters = job.take_cancel_requesters();
         if !job.is_final_write_in_doubt() {
@@ -213,7 +213,7 @@
     /// Handles a write of the final record that had no conclusive answer and may still be executed.
     fn waiting_final_write_unanswered(&mut self, shard_id: ShardId, id: &JobId) {
         let Some(shard) = self.shards.get_mut(&shard_id) else { return };
-        if let Some(job) = shard.dependencies.waiting_job_mut(id) {
+        if let Some(job) = shard.waiting_jobs.waiting_job_mut(id) {
             job.mark_final_write_in_doubt();
         }
         self.waiting_outcome_unknown(shard_id, id);
@@ -223,10 +223,10 @@
     fn waiting_outcome_unknown(&mut self, shard_id: ShardId, id: &JobId) {
         let now = self.now;
         let Some(shard) = self.shards.get_mut(&shard_id) else { return };
-        let Some(job) = shard.dependencies.waiting_job_mut(id) else { return };
+        let Some(job) = shard.waiting_jobs.waiting_job_mut(id) else { return };
         job.mark_outcome_unknown(now);
         let requesters = job.take_cancel_requesters();
-        shard.dependencies.mark_record_due(id.clone());
+        shard.waiting_jobs.mark_record_due(id.clone());
         self.ask_to_retry(requesters);
     }
 
@@ -241,14 +241,14 @@
         let VersionedRecord { record, version } = released;
         let Some(shard) = self.shards.get_mut(&shard_id) else { return };
         let id = record.job.id.clone();
-        let waiting = shard.dependencies.remove_waiting_job(&id);
+        let waiting = shard.waiting_jobs.remove_waiting_job(&id);
         shard.accept_job(record, version, now);
         shard.update_inherited_urgency();
         let Some(mut waiting) = waiting else { return };
         if waiting.is_cancel_requested() {
             // The user has asked to cancel the job while the release was being written.
             for requester in waiting.take_cancel_requesters() {
-                self.cancel_here(requester, shard_id, id.clone());
+                self.cancel_as_leader(requester, shard_id, id.clone());
             }
         }
     }
@@ -256,7 +256,7 @@
     /// Handles the durable end of a waiting job.
     fn waiting_job_ended(&mut self, shard_id: ShardId, id: &JobId, end: EndRecord) {
         let Some(shard) = self.shards.get_mut(&shard_id) else { return };
-        let waiting = shard.dependencies.remove_waiting_job(id);
+        let waiting = shard.waiting_jobs.remove_waiting_job(id);
         log::info!("waiting job {id} ended as {:?} before any of its tasks was started", end.state);
         let state = end.state;
         self.directory.forget_job_shard(id);
--- a/src/coordination/forecasts.rs
+++ b/src/coordination/forecasts.rs
@@ -96,7 +96,7 @@
 
     /// Learns from the attempts of a shard that have ended. Has to be called before their job is removed from memory,
     /// as their samples are lost otherwise.
-    pub(super) fn learn_runtimes(&mut self, id: ShardId) {
+    pub(super) fn learn_run_times(&mut self, id: ShardId) {
         let now = self.now;
         let Some(store) = self.forecasts.as_mut().and_then(|forecasts| forecasts.stores.get_mut(&id)) else { return };
         if let Some(shard) = self.shards.get_mut(&id) {
@@ -106,7 +106,7 @@
 
     /// Handles the end of a job: compares its promise with its finish time if the job is done, and discards the promise
     /// if it is cancelled.
-    pub(super) fn forecast_ended(&mut self, shard: ShardId, job: &JobId, state: FinalState) {
+    pub(super) fn judge_promise(&mut self, shard: ShardId, job: &JobId, state: FinalState) {
         let now = self.now;
         let forecasts = self.forecasts.as_mut();
         let Some(store) = forecasts.and_then(|forecasts| forecasts.stores.get_mut(&shard)) else { return };
--- a/src/coordination/forwarding.rs
+++ b/src/coordination/forwarding.rs
@@ -83,7 +83,7 @@
     fn answer_without_leader(&mut self, requester: Requester, request: ForwardedRequest) {
         match request {
             ForwardedRequest::Submit(spec) | ForwardedRequest::SubmitWaiting(spec) => {
-                self.submit_remotely(requester, *spec);
+                self.accept_without_leader(requester, *spec);
             }
             ForwardedRequest::WorkerHeartbeat(_) => self.reply(requester, workers::redirect(None)),
             _ => self.reply(requester, Reply::busy(BusyReason::LeaderUnreachable)),
@@ -103,7 +103,7 @@
         let Some(forwarded) = self.forwarded.pending.remove(&number) else { return };
         let requester = Requester::Local(forwarded.client_request);
         match forwarded.kind {
-            ForwardedKind::Submission(spec) if reply.status == 503 => self.submit_remotely(requester, *spec),
+            ForwardedKind::Submission(spec) if reply.status == 503 => self.accept_without_leader(requester, *spec),
             ForwardedKind::Poll(job) if reply.status == 503 => self.look_up_job(requester, job, LookupPurpose::Poll),
             ForwardedKind::LeaderOnly(job) | ForwardedKind::Poll(job) if reply.status == 404 => {
                 self.directory.forget_job_shard(&job);
@@ -122,7 +122,7 @@
         for PendingForward { client_request, kind, .. } in expired {
             let requester = Requester::Local(client_request);
             match kind {
-                ForwardedKind::Submission(spec) => self.submit_remotely(requester, *spec),
+                ForwardedKind::Submission(spec) => self.accept_without_leader(requester, *spec),
                 ForwardedKind::Poll(job) => self.look_up_job(requester, job, LookupPurpose::Poll),
                 ForwardedKind::LeaderOnly(_) => self.reply(requester, Reply::busy(BusyReason::LeaderTimedOut)),
                 ForwardedKind::WorkerHeartbeat => self.reply(requester, workers::redirect(None)),
--- a/src/coordination/job_persistence/end_of_job.rs
+++ b/src/coordination/job_persistence/end_of_job.rs
@@ -115,12 +115,12 @@
     pub(super) fn job_ended(&mut self, shard_id: ShardId, id: &JobId, state: FinalState) {
         let Some(shard) = self.shards.get_mut(&shard_id) else { return };
         shard.record_interruptions(id);
-        self.learn_runtimes(shard_id);
+        self.learn_run_times(shard_id);
         let Some(shard) = self.shards.get_mut(&shard_id) else { return };
         let Some(job) = shard.jobs.remove(id) else { return };
         shard.stop_attempts_of(id);
         log::info!("job {id}: final state {state:?} is recorded; stopping its remaining attempts");
-        self.forecast_ended(shard_id, id, state);
+        self.judge_promise(shard_id, id, state);
         self.directory.forget_job_shard(id);
         self.directory.record_end(id.clone(), EndRecord { state, done: job.progress.done.len(), cause: None });
         self.prerequisite_ended(id, state);
--- a/src/coordination/placement/urgency.rs
+++ b/src/coordination/placement/urgency.rs
@@ -34,7 +34,8 @@
         let until_deadline_s = self.spec.deadline_s.map(|within| within - since_accepted_s);
         let objectives = settings.finish_within.get(&self.spec.class).into_iter().flatten();
         let until_objectives_s = objectives.map(|within| within.as_secs() - since_ready_s);
-        let until_inherited_late_s = self.inherited_urgency.and_then(|urgency| urgency.late_ms).map(seconds_until);
+        let until_inherited_late_s =
+            self.inherited_urgency.and_then(|urgency| urgency.useful_until_ms).map(seconds_until);
         let late_factor = settings.late_factors.get(&self.spec.class).copied().unwrap_or(1.0);
         let until_late_s = self.spec.deadline_s.map(|within| within * late_factor - since_accepted_s);
         let mut until_limits_s = until_inherited_due_s
--- a/src/coordination/scale_in/stale_records.rs
+++ b/src/coordination/scale_in/stale_records.rs
@@ -44,7 +44,7 @@
             return true;
         }
         // Not retried: an obsolete part that stays behind, for example after a failover, does no harm.
-        let Some(key) = shard.dependencies.take_obsolete_part() else { return false };
+        let Some(key) = shard.waiting_jobs.take_obsolete_part() else { return false };
         let conditions = vec![leadership.condition()];
         let request = StateCall::Commit { conditions, changes: vec![Change::Delete(key)] };
         self.call_state(request, DependencyOperation::RemovePart);
--- a/src/coordination/shard/mod.rs
+++ b/src/coordination/shard/mod.rs
@@ -22,7 +22,7 @@
 
 use super::events::Requester;
 use super::leadership_term::LeadershipTerm;
-use super::waiting_jobs::JobDependencies;
+use super::waiting_jobs::WaitingJobs;
 use crate::model::{JobId, MachineId, Name, Quantity, Resources, Revision, ShardId};
 use crate::protocol::peers::MachineOffer;
 use crate::protocol::workers::{Exit, WorkerHeartbeat};
@@ -64,7 +64,7 @@
     /// Jobs that are queued or running.
     pub jobs: HashMap<JobId, Job>,
     /// Jobs that wait for prerequisites and may not start any task yet.
-    pub dependencies: JobDependencies,
+    pub waiting_jobs: WaitingJobs,
     /// Machines that are up.
     pub machines: BTreeMap<MachineId, Machine>,
     /// Machines that were requested or are booting, are being transferred, or are gone.
@@ -155,7 +155,7 @@
             loading: LoadingState::default(),
             recovery,
             jobs: HashMap::new(),
-            dependencies: JobDependencies::new(late_factors),
+            waiting_jobs: WaitingJobs::new(late_factors),
             machines: BTreeMap::new(),
             fleet: FleetState::default(),
             queue: JobQueue::default(),
@@ -194,7 +194,7 @@
         self.loading.retry = false;
         self.loading.read_at = None;
         self.jobs.clear();
-        self.dependencies.clear();
+        self.waiting_jobs.clear();
         self.machines.clear();
         self.jobs_with_unreconciled_tasks.clear();
         self.recovery.restart_loading();
@@ -259,9 +259,9 @@
 
     fn insert_job(&mut self, record: LiveRecord, version: Revision, progress: JobProgress, waiting_since: Time) {
         let id = record.job.id.clone();
-        let urgency = self.dependencies.urgency(&record.job, record.accepted_ms);
-        self.dependencies.mark_live(&id, urgency);
-        let inherited_urgency = self.dependencies.inherited_urgency(&id);
+        let urgency = self.waiting_jobs.own_urgency(&record.job, record.accepted_ms);
+        self.waiting_jobs.mark_runnable(&id, urgency);
+        let inherited_urgency = self.waiting_jobs.inherited_urgency(&id);
         let job = Job::new(record, version, progress, inherited_urgency, waiting_since);
         if job.is_complete() {
             self.finished.push(id.clone());
--- a/src/coordination/shard/waiting_jobs.rs
+++ b/src/coordination/shard/waiting_jobs.rs
@@ -7,12 +7,12 @@
 
 impl Shard {
     /// Returns `true` if the job is in memory, whether or not it waits for prerequisites.
-    pub fn has(&self, job: &JobId) -> bool {
-        self.jobs.contains_key(job) || self.dependencies.contains(job)
+    pub fn contains_job(&self, job: &JobId) -> bool {
+        self.jobs.contains_key(job) || self.waiting_jobs.contains(job)
     }
 
     /// Adds a job of which no task was ever started, as waiting or as ready according to its record.
-    pub fn adopt(&mut self, record: LiveRecord, version: Revision, now: Time) {
+    pub fn add_unstarted_job(&mut self, record: LiveRecord, version: Revision, now: Time) {
         if record.is_waiting() { self.add_waiting_job(record, version) } else { self.accept_job(record, version, now) }
     }
 
@@ -20,11 +20,11 @@
     /// shard.
     pub fn add_waiting_job(&mut self, record: LiveRecord, version: Revision) {
         let prerequisites = record.job.prerequisites.clone();
-        self.dependencies.add_waiting_job(record, version);
+        self.waiting_jobs.add_waiting_job(record, version);
         for prerequisite in prerequisites {
             if let Some(job) = self.jobs.get(&prerequisite) {
-                let urgency = self.dependencies.urgency(&job.spec, job.accepted_ms);
-                self.dependencies.mark_live(&prerequisite, urgency);
+                let urgency = self.waiting_jobs.own_urgency(&job.spec, job.accepted_ms);
+                self.waiting_jobs.mark_runnable(&prerequisite, urgency);
             }
         }
     }
@@ -38,8 +38,8 @@
     /// Updates the inherited urgency of jobs whose dependent jobs have changed, and has the queue sorted again if any
     /// differs.
     pub(in crate::coordination) fn update_inherited_urgency(&mut self) {
-        for id in self.dependencies.take_changed_urgencies() {
-            let inherited_urgency = self.dependencies.inherited_urgency(&id);
+        for id in self.waiting_jobs.take_changed_urgencies() {
+            let inherited_urgency = self.waiting_jobs.inherited_urgency(&id);
             if let Some(job) = self.jobs.get_mut(&id)
                 && job.inherited_urgency != inherited_urgency
             {
--- a/src/coordination/shard_recovery/loading.rs
+++ b/src/coordination/shard_recovery/loading.rs
@@ -142,7 +142,7 @@
         let jobs = shard.jobs.len();
         shard.recovery.record_loaded(now, jobs);
         shard.release_reconciled_tasks();
-        let (waiting, machines) = (shard.dependencies.len(), shard.machines.len());
+        let (waiting, machines) = (shard.waiting_jobs.len(), shard.machines.len());
         log::info!(
             "shard {id}: loaded {jobs} jobs, {waiting} jobs waiting for prerequisites, {machines} machines; \
              serving requests"
--- a/src/coordination/user_requests/acceptance.rs
+++ b/src/coordination/user_requests/acceptance.rs
@@ -30,9 +30,9 @@
         let Some(shard) = self.shards.get(&submission.shard).filter(|shard| shard.is_active() && may_decide) else {
             return self.reply(submission.requester, Reply::busy(BusyReason::ShardNotReady));
         };
-        if shard.has(&submission.spec.id) {
+        if shard.contains_job(&submission.spec.id) {
             // The job was submitted twice, and the other submission was accepted in the meantime.
-            return self.poll_here(submission.requester, submission.shard, submission.spec.id);
+            return self.poll_as_leader(submission.requester, submission.shard, submission.spec.id);
         }
         let term = shard.term;
         self.write_acceptance(submission, term);
@@ -53,8 +53,8 @@
     /// outcome instead.
     fn write_acceptance(&mut self, submission: Submission, term: Revision) {
         let Submission { requester, shard, spec, path } = submission;
-        if self.users.is_accepting(&spec.id) {
-            return self.users.await_acceptance(&spec.id, requester);
+        if self.user_requests.is_accepting(&spec.id) {
+            return self.user_requests.await_acceptance(&spec.id, requester);
         }
         if !self.admits(TrafficClass::Acceptance) {
             let retry_after = self.calls.retry_after(self.now, TrafficClass::Acceptance);
@@ -62,7 +62,7 @@
         }
         match NewJob::new(shard, term, spec, path, self.wall_clock_ms, self.settings.value_bytes) {
             Ok(new_job) => {
-                self.users.await_acceptance(new_job.id(), requester);
+                self.user_requests.await_acceptance(new_job.id(), requester);
                 self.write_parts(new_job);
             }
             Err(RecordTooLarge) => self.reply(requester, Reply::error(400, "larger than can be recorded")),
@@ -88,7 +88,7 @@
 
     /// Handles the answer to the commit of a new job's live record, or to a write of its part records that failed.
     pub(in crate::coordination) fn acceptance_answered(&mut self, new_job: NewJob, answer: StateResult) {
-        let requesters = self.users.take_acceptance_requesters(new_job.id());
+        let requesters = self.user_requests.take_acceptance_requesters(new_job.id());
         match answer {
             Ok(StateAnswer::Committed(version)) => self.acceptance_committed(new_job, version, requesters),
             Ok(answer) if answer.is_conflict_on(&keys::shard_key(new_job.shard)) => {
@@ -131,16 +131,16 @@
         let now = self.now;
         if let Some(shard) = self.shard_in_term(new_job.leadership_term())
             && !has_ended
-            && !shard.has(new_job.id())
+            && !shard.contains_job(new_job.id())
         {
-            shard.adopt(new_job.record, version, now);
+            shard.add_unstarted_job(new_job.record, version, now);
         }
     }
 
     /// Answers a requester with the current state of its submitted job, which has been accepted.
     fn poll_accepted(&mut self, requester: Requester, shard_id: ShardId, id: &JobId) {
-        if self.shards.get(&shard_id).is_some_and(|shard| shard.has(id)) {
-            self.poll_here(requester, shard_id, id.clone());
+        if self.shards.get(&shard_id).is_some_and(|shard| shard.contains_job(id)) {
+            self.poll_as_leader(requester, shard_id, id.clone());
         } else {
             self.poll_from_records(requester, id);
         }
--- a/src/coordination/user_requests/adoption.rs
+++ b/src/coordination/user_requests/adoption.rs
@@ -56,7 +56,7 @@
         let VersionedRecord { record, version } = found;
         let has_ended = self.directory.has_ended(&record.job.id);
         let Some(shard) = self.shards.get_mut(&shard_id) else { return AdoptionOutcome::Retry };
-        if has_ended || shard.has(&record.job.id) {
+        if has_ended || shard.contains_job(&record.job.id) {
             return AdoptionOutcome::Settled;
         }
         let sent_after_loading = shard.loading.read_at.is_some_and(|read_at| sent_at >= read_at);
@@ -64,7 +64,7 @@
             return AdoptionOutcome::Retry;
         }
         log::info!("job {} adopted by shard {shard_id}: {}", record.job.id, source.log_text());
-        shard.adopt(record, version, now);
+        shard.add_unstarted_job(record, version, now);
         AdoptionOutcome::Settled
     }
 }
--- a/src/coordination/user_requests/cancellation.rs
+++ b/src/coordination/user_requests/cancellation.rs
@@ -14,7 +14,7 @@
             return self.reply(requester, reply);
         }
         if let Some(shard) = self.active_shard_with(&job) {
-            return self.cancel_here(requester, shard, job);
+            return self.cancel_as_leader(requester, shard, job);
         }
         match self.directory.job_shard(&job) {
             Some(shard) if !self.shards.contains_key(&shard) => {
@@ -25,7 +25,7 @@
     }
 
     /// Cancels a job as the leader of its shard.
-    pub(in crate::coordination) fn cancel_here(&mut self, requester: Requester, shard_id: ShardId, id: JobId) {
+    pub(in crate::coordination) fn cancel_as_leader(&mut self, requester: Requester, shard_id: ShardId, id: JobId) {
         if let Some(reply) = self.known_final_reply(&id) {
             return self.reply(requester, reply);
         }
@@ -57,7 +57,7 @@
         let Some(shard) = self.shards.get_mut(&shard_id) else {
             return self.reply(requester, Reply::busy(BusyReason::NotLeader));
         };
-        if shard.dependencies.contains(&id) {
+        if shard.waiting_jobs.contains(&id) {
             return self.cancel_waiting_job(requester, shard_id, id);
         }
         let may_record = shard.may_record_cancellations(now);
--- a/src/coordination/user_requests/handoff.rs
+++ b/src/coordination/user_requests/handoff.rs
@@ -18,11 +18,14 @@
         let Some((shard_id, job)) = keys::parse_handoff(key) else { return };
         let Some(shard) = self.shards.get(&shard_id).filter(|shard| shard.is_active()) else { return };
         let leadership = shard.leadership_term();
-        let is_known = shard.has(&job) || self.directory.has_ended(&job);
-        if !self.may_decide(shard_id) || self.users.is_handoff_in_flight(key) || !self.admits(TrafficClass::Adoption) {
+        let is_known = shard.contains_job(&job) || self.directory.has_ended(&job);
+        if !self.may_decide(shard_id)
+            || self.user_requests.is_handoff_in_flight(key)
+            || !self.admits(TrafficClass::Adoption)
+        {
             return;
         }
-        self.users.begin_handoff(key);
+        self.user_requests.begin_handoff(key);
         let handoff = HandoffRecord { key: key.to_string(), version };
         if is_known {
             return self.remove_handoff(leadership, handoff);
@@ -41,7 +44,7 @@
     ) {
         let shard_id = leadership.shard;
         if self.shard_in_term(leadership).is_none() {
-            return self.users.finish_handoff(&handoff.key);
+            return self.user_requests.finish_handoff(&handoff.key);
         }
         match self.adopt_handed_off(shard_id, sent_at, answer) {
             AdoptionOutcome::Settled => {
@@ -49,7 +52,7 @@
                 self.remove_handoff(leadership, handoff);
             }
             // The hand-off record remains and is processed when it is next seen.
-            AdoptionOutcome::Retry => self.users.finish_handoff(&handoff.key),
+            AdoptionOutcome::Retry => self.user_requests.finish_handoff(&handoff.key),
         }
     }
 
--- a/src/coordination/user_requests/lookup.rs
+++ b/src/coordination/user_requests/lookup.rs
@@ -91,9 +91,9 @@
         match self.adopt_from_record(shard_id, found, sent_at, AdoptionSource::Lookup) {
             AdoptionOutcome::Retry => self.look_up_job(requester, id, purpose),
             AdoptionOutcome::Settled => match purpose {
-                LookupPurpose::Cancel => self.cancel_here(requester, shard_id, id),
-                LookupPurpose::Forecast => self.forecast_here(requester, shard_id, id),
-                _ => self.poll_here(requester, shard_id, id),
+                LookupPurpose::Cancel => self.cancel_as_leader(requester, shard_id, id),
+                LookupPurpose::Forecast => self.forecast_as_leader(requester, shard_id, id),
+                _ => self.poll_as_leader(requester, shard_id, id),
             },
         }
     }
--- a/src/coordination/user_requests/mod.rs
+++ b/src/coordination/user_requests/mod.rs
@@ -87,7 +87,7 @@
             UserOperation::ReadHandoff { leadership, handoff, sent_at } => {
                 self.handoff_read(leadership, handoff, sent_at, answer);
             }
-            UserOperation::RemoveHandoff { handoff } => self.users.finish_handoff(&handoff),
+            UserOperation::RemoveHandoff { handoff } => self.user_requests.finish_handoff(&handoff),
         }
     }
 }
--- a/src/coordination/user_requests/polling.rs
+++ b/src/coordination/user_requests/polling.rs
@@ -59,8 +59,8 @@
         }
         if let Some(shard) = self.active_shard_with(&job) {
             return match query {
-                JobQuery::Poll => self.poll_here(requester, shard, job),
-                JobQuery::Forecast => self.forecast_here(requester, shard, job),
+                JobQuery::Poll => self.poll_as_leader(requester, shard, job),
+                JobQuery::Forecast => self.forecast_as_leader(requester, shard, job),
             };
         }
         match self.likely_shard(&job) {
@@ -72,7 +72,7 @@
     }
 
     /// Answers a poll as the leader of the job's shard.
-    pub(in crate::coordination) fn poll_here(&mut self, requester: Requester, shard_id: ShardId, job: JobId) {
+    pub(in crate::coordination) fn poll_as_leader(&mut self, requester: Requester, shard_id: ShardId, job: JobId) {
         if let Some(reply) = self.known_final_reply(&job) {
             return self.reply(requester, reply);
         }
@@ -82,19 +82,21 @@
         let shard = self.shards.get(&shard_id);
         match shard.and_then(|shard| shard.jobs.get(&job)) {
             Some(job) => self.reply(requester, live_reply(job)),
-            None if shard.is_some_and(|shard| shard.has(&job)) => self.poll_waiting_job(requester, shard_id, job),
+            None if shard.is_some_and(|shard| shard.contains_job(&job)) => {
+                self.poll_waiting_job(requester, shard_id, job);
+            }
             None => self.look_up_job(requester, job, LookupPurpose::Poll),
         }
     }
 
     /// Answers a request for a forecast as the leader of the job's shard.
-    pub(in crate::coordination) fn forecast_here(&mut self, requester: Requester, shard_id: ShardId, job: JobId) {
+    pub(in crate::coordination) fn forecast_as_leader(&mut self, requester: Requester, shard_id: ShardId, job: JobId) {
         if self.forecasts.is_none() {
             return self.reply(requester, Reply::error(404, "forecasts are off here"));
         }
-        let waits = self.shards.get(&shard_id).is_some_and(|shard| shard.dependencies.contains(&job));
+        let waits = self.shards.get(&shard_id).is_some_and(|shard| shard.waiting_jobs.contains(&job));
         if self.directory.has_ended(&job) || waits {
-            return self.poll_here(requester, shard_id, job);
+            return self.poll_as_leader(requester, shard_id, job);
         }
         if !self.may_serve_reads(shard_id) {
             return self.reply(requester, Reply::busy(BusyReason::NotConfirmed));
@@ -121,7 +123,7 @@
 
     /// Returns the shard led by this node that has the job in memory.
     pub(in crate::coordination) fn active_shard_with(&self, job: &JobId) -> Option<ShardId> {
-        self.shards.values().find(|shard| shard.is_active() && shard.has(job)).map(|shard| shard.id)
+        self.shards.values().find(|shard| shard.is_active() && shard.contains_job(job)).map(|shard| shard.id)
     }
 
     /// Returns the shard that a job belongs to if the job exists, or `None` if that is not known without reading
--- a/src/coordination/user_requests/submission.rs
+++ b/src/coordination/user_requests/submission.rs
@@ -13,7 +13,7 @@
 impl Controller {
     /// Refuses an invalid submission. If its job id could be parsed, a repeated submission of an accepted job is still
     /// answered with the job's state.
-    pub(in crate::coordination) fn reject(&mut self, requester: Requester, invalid: InvalidJob) {
+    pub(in crate::coordination) fn reject_invalid_submission(&mut self, requester: Requester, invalid: InvalidJob) {
         let refusal = Reply::error(400, &invalid.reason.to_string());
         match invalid.id {
             Some(id) => self.refuse_unless_accepted(requester, id, refusal),
@@ -28,7 +28,7 @@
             return self.reply(requester, reply);
         }
         match self.active_shard_with(&id) {
-            Some(shard) => self.poll_here(requester, shard, id),
+            Some(shard) => self.poll_as_leader(requester, shard, id),
             None => self.look_up_job(requester, id, LookupPurpose::Refuse(refusal)),
         }
     }
@@ -39,7 +39,7 @@
             return self.reply(requester, reply);
         }
         if let Some(shard) = self.active_shard_with(&spec.id) {
-            return self.poll_here(requester, shard, spec.id);
+            return self.poll_as_leader(requester, shard, spec.id);
         }
         if !self.cloud.has_catalog() {
             return self.reply(requester, Reply::busy(BusyReason::NoCatalog));
@@ -56,8 +56,8 @@
     /// Accepts the job on this node if it leads the shard, and otherwise forwards the submission to the leader.
     fn submit_to_shard(&mut self, requester: Requester, shard_id: ShardId, spec: JobSpec) {
         match self.shards.get(&shard_id) {
-            Some(shard) if shard.is_active() => self.submit_here(requester, shard_id, spec),
-            Some(_) => self.submit_remotely(requester, spec),
+            Some(shard) if shard.is_active() => self.submit_as_leader(requester, shard_id, spec),
+            Some(_) => self.accept_without_leader(requester, spec),
             None => self.forward_submission(requester, shard_id, spec),
         }
     }
@@ -73,7 +73,7 @@
         if leader.is_some_and(|peer| peer.peer_status.message_version >= WAITING_JOBS_VERSION) {
             self.forward(requester, shard, ForwardedRequest::SubmitWaiting(Box::new(spec)));
         } else {
-            self.submit_remotely(requester, spec);
+            self.accept_without_leader(requester, spec);
         }
     }
 
@@ -88,12 +88,12 @@
     }
 
     /// Handles a submission as the leader of the job's shard.
-    pub(in crate::coordination) fn submit_here(&mut self, requester: Requester, shard_id: ShardId, spec: JobSpec) {
+    pub(in crate::coordination) fn submit_as_leader(&mut self, requester: Requester, shard_id: ShardId, spec: JobSpec) {
         if let Some(reply) = self.known_final_reply(&spec.id) {
             return self.reply(requester, reply);
         }
-        if self.shards.get(&shard_id).is_some_and(|shard| shard.is_active() && shard.has(&spec.id)) {
-            return self.poll_here(requester, shard_id, spec.id);
+        if self.shards.get(&shard_id).is_some_and(|shard| shard.is_active() && shard.contains_job(&spec.id)) {
+            return self.poll_as_leader(requester, shard_id, spec.id);
         }
         self.check_and_accept(Submission { requester, shard: shard_id, spec, path: AcceptancePath::Leader });
     }
@@ -104,7 +104,7 @@
     /// The commit is conditional on the current version of the shard's key, whether or not the shard has a leader. A
     /// later leader loads the live record when it loads the shard; the current leader learns of the job from the
     /// hand-off record.
-    pub(in crate::coordination) fn submit_remotely(&mut self, requester: Requester, spec: JobSpec) {
+    pub(in crate::coordination) fn accept_without_leader(&mut self, requester: Requester, spec: JobSpec) {
         match self.shard_for(&spec) {
             Some(shard) => self.check_and_accept(Submission { requester, shard, spec, path: AcceptancePath::Handoff }),
             None => self.reply(requester, Reply::busy(BusyReason::NoShard)),
--- a/src/coordination/waiting_jobs/mod.rs
+++ b/src/coordination/waiting_jobs/mod.rs
@@ -20,7 +20,7 @@
 use waiting_job::WaitingJob;
 
 /// The jobs of one shard that wait for prerequisites, with their dependency graph.
-pub(in crate::coordination) struct JobDependencies {
+pub(in crate::coordination) struct WaitingJobs {
     /// Dependencies between the waiting jobs and their prerequisites.
     graph: DependencyGraph,
     /// Waiting jobs all of whose prerequisites have been loaded.
@@ -39,11 +39,11 @@
     scan: FinalRecordScan,
 }
 
-impl JobDependencies {
+impl WaitingJobs {
     /// Creates an empty set of waiting jobs. `late_factors` holds, for each class, the factor by which the deadline may
     /// be exceeded while the job's result is still of use.
-    pub fn new(late_factors: Arc<BTreeMap<Name, f64>>) -> JobDependencies {
-        JobDependencies {
+    pub fn new(late_factors: Arc<BTreeMap<Name, f64>>) -> WaitingJobs {
+        WaitingJobs {
             graph: DependencyGraph::default(),
             jobs: HashMap::new(),
             partially_loaded: PartiallyLoadedJobs::default(),
@@ -57,7 +57,7 @@
 
     /// Discards everything that was loaded from records.
     pub fn clear(&mut self) {
-        *self = JobDependencies::new(self.late_factors.clone());
+        *self = WaitingJobs::new(self.late_factors.clone());
     }
 
     /// Returns `true` if a job waits in this shard, even if its prerequisites are still being loaded.
@@ -71,15 +71,15 @@
     }
 
     /// Returns the urgency that follows from a job's own specification.
-    pub fn urgency(&self, spec: &JobSpec, accepted_ms: u64) -> Urgency {
+    pub fn own_urgency(&self, spec: &JobSpec, accepted_ms: u64) -> Urgency {
         let late_factor = self.late_factors.get(&spec.class).copied().unwrap_or(1.0).max(1.0);
         let deadline_times =
             |factor: f64| spec.deadline_s.map(|seconds| accepted_ms + (seconds * factor * 1000.0) as u64);
         Urgency {
             priority: spec.priority,
             due_ms: deadline_times(1.0),
-            late_ms: deadline_times(late_factor),
-            run_ms: (spec.estimate_s * 1000.0) as u64,
+            useful_until_ms: deadline_times(late_factor),
+            expected_run_ms: (spec.estimate_s * 1000.0) as u64,
         }
     }
 
@@ -95,7 +95,7 @@
     }
 
     /// Marks a job as loaded and not waiting for any prerequisite.
-    pub fn mark_live(&mut self, job: &JobId, urgency: Urgency) {
+    pub fn mark_runnable(&mut self, job: &JobId, urgency: Urgency) {
         self.graph.mark_runnable(job, urgency);
     }
 
@@ -105,7 +105,7 @@
         if record.parts > 0 && record.job.prerequisites.is_empty() {
             return self.partially_loaded.insert(record, version);
         }
-        let urgency = self.urgency(&record.job, record.accepted_ms);
+        let urgency = self.own_urgency(&record.job, record.accepted_ms);
         let id = record.job.id.clone();
         let withdrawn = self.graph.add_waiting(&id, &record.job.prerequisites, urgency);
         if self.graph.is_ready(&id) {
