--- a/src/coordination/controller.rs
+++ b/src/coordination/controller.rs
@@ -242,7 +242,7 @@
 
     /// Sends a message to another controller.
     pub(super) fn send_to_peer(&mut self, to: NodeLabel, message: PeerMessage) {
-        self.calls.push(Action::Send { to, message });
+        self.calls.push(Action::SendToPeer { to, message });
     }
 
     /// Returns `true` if a call of this class may be sent to the state service now. The caller must then send it before
--- a/src/coordination/events.rs
+++ b/src/coordination/events.rs
@@ -118,7 +118,7 @@
         addr: SocketAddrV4,
     },
     /// Sends a message to another controller. The message may be lost.
-    Send {
+    SendToPeer {
         /// Label of the receiving controller.
         to: NodeLabel,
         /// Message to send.
--- a/src/coordination/forecasts/store.rs
+++ b/src/coordination/forecasts/store.rs
@@ -107,7 +107,7 @@
         for sample in std::mem::take(&mut samples.samples) {
             let Some(job) = shard.jobs.get_mut(&sample.job) else { continue };
             let work = work_of(&job.spec, sample.machine);
-            self.learner.learn(&work, sample.attempt, &mut job.runtimes.track, now);
+            self.learner.learn(&work, sample.attempt, &mut job.runtimes.observations, now);
             self.snapshot.count_learned();
         }
     }
@@ -141,7 +141,7 @@
             if context.settings.properties.forecast.plans
                 && let Some(job) = shard.jobs.get_mut(&id)
             {
-                job.runtimes.expected = Some(mean);
+                job.runtimes.learned_run_time = Some(mean);
             }
         }
         self.round = (round.jobs.len() > 0).then_some(round);
@@ -156,7 +156,7 @@
         context: &ForecastContext,
     ) -> (JobForecast, f64) {
         let machine = round.capacity.most_common_type(&job.spec);
-        let run = self.learner.predict(&work_of(&job.spec, machine), &job.runtimes.track);
+        let run = self.learner.predict(&work_of(&job.spec, machine), &job.runtimes.observations);
         let running = running_times(shard, job, context.now);
         let capacity = round.capacity.available_capacity(&job.spec, context.settings);
         let inputs = FinishInputs {
--- a/src/coordination/job_persistence/end_of_job.rs
+++ b/src/coordination/job_persistence/end_of_job.rs
@@ -42,7 +42,7 @@
     pub(super) fn write_final_records(&mut self, shard_id: ShardId, ready: Vec<JobId>) {
         let now = self.now;
         for id in ready {
-            if self.write_end(shard_id, &id) == FinalRecordWrite::NotAdmitted {
+            if self.write_final_record(shard_id, &id) == FinalRecordWrite::NotAdmitted {
                 return;
             }
             if let Some(job) = self.job_mut(shard_id, &id) {
@@ -53,7 +53,7 @@
 
     /// Writes the final record of a job that is ending, unless the write has to wait. A write that is not admitted is
     /// retried by a later tick.
-    pub(in crate::coordination) fn write_end(&mut self, shard_id: ShardId, id: &JobId) -> FinalRecordWrite {
+    pub(in crate::coordination) fn write_final_record(&mut self, shard_id: ShardId, id: &JobId) -> FinalRecordWrite {
         let Some(state) = self.final_state_to_write(shard_id, id) else { return FinalRecordWrite::NotDue };
         if !self.admits(TrafficClass::FinalRecord) {
             return FinalRecordWrite::NotAdmitted;
--- a/src/coordination/job_persistence/progress.rs
+++ b/src/coordination/job_persistence/progress.rs
@@ -98,7 +98,7 @@
             Err(CallError::Refused { .. }) => return self.job_write_refused(shard_id, id),
             _ => return self.job_call_unanswered(shard_id, id, false),
         }
-        self.write_end(shard_id, id);
+        self.write_final_record(shard_id, id);
     }
 
     fn progress_recorded(&mut self, shard_id: ShardId, id: &JobId, progress: RecordedProgress, version: Revision) {
--- a/src/coordination/job_persistence/unknown_outcome.rs
+++ b/src/coordination/job_persistence/unknown_outcome.rs
@@ -37,7 +37,7 @@
             Ok(StateAnswer::Missing) => return self.read_final_record(leadership, id),
             _ => return self.job_call_unanswered(shard_id, id, false),
         }
-        self.write_end(shard_id, id);
+        self.write_final_record(shard_id, id);
     }
 
     fn live_record_read(&mut self, shard_id: ShardId, id: &JobId, entry: Entry) {
@@ -71,7 +71,7 @@
         match serde_json::from_value::<EndRecord>(entry.value) {
             Ok(end) => self.job_ended(shard_id, id, end.state),
             Err(_) => {
-                self.write_end(shard_id, id);
+                self.write_final_record(shard_id, id);
             }
         }
     }
--- a/src/coordination/machine_transfer.rs
+++ b/src/coordination/machine_transfer.rs
@@ -187,6 +187,6 @@
         shard.fleet.requested_offers.remove(&machine);
         let leadership = shard.leadership_term();
         let request = StateCall::Get(keys::machine_key(&machine));
-        self.call_state(request, MachineOperation::Fetch { leadership });
+        self.call_state(request, MachineOperation::ReadRecord { leadership });
     }
 }
--- a/src/coordination/outbound_calls.rs
+++ b/src/coordination/outbound_calls.rs
@@ -93,8 +93,8 @@
     }
 
     /// Returns `true` if so little of the rate limits is in use that a background write would be admitted.
-    pub fn is_quiet(&mut self, now: Time) -> bool {
-        self.admission.is_quiet(now)
+    pub fn would_admit_background_write(&mut self, now: Time) -> bool {
+        self.admission.would_admit_background_write(now)
     }
 
     /// Returns the seconds after which a client whose call was not admitted should retry.
--- a/src/coordination/placement/binding.rs
+++ b/src/coordination/placement/binding.rs
@@ -226,7 +226,7 @@
     fn end_waiting(&mut self, job_id: &JobId) {
         if let Some(job) = self.jobs.get_mut(job_id) {
             job.waiting.skipped_since = None;
-            job.waiting.reserved = None;
+            job.waiting.reservation = None;
         }
         self.queue.release_reservation(job_id);
     }
--- a/src/coordination/placement/preemption.rs
+++ b/src/coordination/placement/preemption.rs
@@ -212,8 +212,8 @@
         None
     }
 
-    /// Returns the attempts on a machine whose jobs have a lower rank than the job's own priority, except those that
-    /// are to be stopped already.
+    /// Returns the attempts on a machine whose jobs have a lower queue priority than the job's own priority, except
+    /// those that are to be stopped already.
     fn possible_victims(&self, job: &Job, machine: &Machine, now: Time) -> Vec<Victim> {
         let attempts =
             machine.attempts.iter().filter(|(_, attempt)| !attempt.is_over() && attempt.stop_grace_s.is_none());
@@ -222,7 +222,7 @@
                 let other = self.jobs.get(&attempt.task.job)?;
                 let run_time_s = attempt.running_since.map_or(0.0, |since| now.since(since).as_secs());
                 let victim = Victim { attempt: *attempt_number, run_time_s, needs: attempt.needs };
-                (other.rank() > job.spec.priority).then_some(victim)
+                (other.queue_priority() > job.spec.priority).then_some(victim)
             })
             .collect()
     }
--- a/src/coordination/placement/queue_order.rs
+++ b/src/coordination/placement/queue_order.rs
@@ -10,8 +10,8 @@
 /// Position of a job in the queue. Positions compare by their fields from first to last; the least goes first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct QueuePosition<'a> {
-    /// Rank of the job, derived from its own and its inherited priority.
-    rank: Priority,
+    /// Queue priority of the job, derived from its own and its inherited priority.
+    queue_priority: Priority,
     /// `true` if one more task would take the team beyond its guarantee.
     exceeds_guarantee: bool,
     /// Time left until the first limit that the job can still meet, in milliseconds. Zero if the job is starved;
@@ -27,8 +27,8 @@
 /// Position of a job among all jobs of the shard, including those of which no task may be started now.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct UrgencyPosition<'a> {
-    /// Rank of the job, derived from its own and its inherited priority.
-    rank: Priority,
+    /// Queue priority of the job, derived from its own and its inherited priority.
+    queue_priority: Priority,
     /// Time left until the first limit that the job can still meet, in milliseconds.
     time_left_ms: u64,
     /// Order among jobs that are otherwise equal: by the time at which they became ready, then by id.
@@ -62,7 +62,7 @@
     pub fn by_urgency(&self, settings: &Settings, wall_clock_ms: u64) -> Vec<&Job> {
         let mut jobs: Vec<&Job> = self.jobs.values().filter(|job| job.ending.is_none()).collect();
         jobs.sort_by_key(|job| UrgencyPosition {
-            rank: job.rank(),
+            queue_priority: job.queue_priority(),
             time_left_ms: job.time_left_ms(settings, wall_clock_ms),
             order: &job.order,
         });
@@ -141,8 +141,13 @@
         let time_left_ms = job.time_left_ms(settings, wall_clock_ms);
         let can_meet_limit = time_left_ms != u64::MAX;
         let team_cpus = if !can_meet_limit && exceeds_guarantee { used.cpus } else { Quantity(0) };
-        let position =
-            QueuePosition { rank: job.rank(), exceeds_guarantee, time_left_ms, team_cpus, order: &job.order };
+        let position = QueuePosition {
+            queue_priority: job.queue_priority(),
+            exceeds_guarantee,
+            time_left_ms,
+            team_cpus,
+            order: &job.order,
+        };
         Some(QueueCandidate { position, job, quota_allows })
     }
 }
--- a/src/coordination/placement/urgency.rs
+++ b/src/coordination/placement/urgency.rs
@@ -57,8 +57,8 @@
     }
 
     /// Returns `true` if the job is starved: no task of it runs, and the job became ready longer ago than
-    /// [`STARVATION_SKIP_LIMITS`] times the skip limit. Its next task then goes before all others of the same rank, so
-    /// that every job starts eventually, however many jobs are more urgent.
+    /// [`STARVATION_SKIP_LIMITS`] times the skip limit. Its next task then goes before all others of the same queue
+    /// priority, so that every job starts eventually, however many jobs are more urgent.
     pub fn is_starved(&self, settings: &Settings, wall_clock_ms: u64) -> bool {
         let waited = Span::millis(wall_clock_ms.saturating_sub(self.ready_ms));
         // A job that fails everywhere has no running task because of its own failures, not for lack of resources.
--- a/src/coordination/scale_in/stale_records.rs
+++ b/src/coordination/scale_in/stale_records.rs
@@ -24,10 +24,11 @@
     /// them.
     pub(in crate::coordination) fn remove_stale_machine_records(&mut self, id: ShardId) {
         let now = self.now;
-        let is_quiet = self.calls.is_quiet(now);
+        let admits_background_write = self.calls.would_admit_background_write(now);
         let Some(leadership) = self.shards.get(&id).map(Shard::leadership_term) else { return };
-        for _ in 0..if is_quiet { MAX_REMOVALS_AT_ONCE } else { 1 } {
-            let is_due = is_quiet || now.since(self.deleted_machines.last_record_removal) >= REMOVAL_INTERVAL;
+        for _ in 0..if admits_background_write { MAX_REMOVALS_AT_ONCE } else { 1 } {
+            let is_due =
+                admits_background_write || now.since(self.deleted_machines.last_record_removal) >= REMOVAL_INTERVAL;
             if !is_due || !self.admits(TrafficClass::StaleRecord) || !self.remove_one_record(leadership) {
                 return;
             }
--- a/src/coordination/shard/job.rs
+++ b/src/coordination/shard/job.rs
@@ -1,7 +1,7 @@
 //! In-memory state of one queued or running job on its shard's leader.
 
 use super::super::events::Requester;
-use super::LOOKAHEAD;
+use super::START_WATERMARK_LOOKAHEAD;
 use super::failure_history::FailureHistory;
 use super::job_record::{JobRecordState, RecordSize};
 use super::task_runtimes::TaskRuntimes;
@@ -85,7 +85,7 @@
     /// Time from which the job has had pending tasks without a break.
     pub waiting_since: Time,
     /// Machine that is reserved for the job's next task because that task has waited too long.
-    pub reserved: Option<Reservation>,
+    pub reservation: Option<Reservation>,
 }
 
 /// Reservation of a machine for a job's next task. The machine gets no tasks of other jobs until it has room for that
@@ -164,21 +164,21 @@
 
 impl WaitingTimes {
     fn since(waiting_since: Time) -> WaitingTimes {
-        WaitingTimes { skipped_since: None, waiting_since, reserved: None }
+        WaitingTimes { skipped_since: None, waiting_since, reservation: None }
     }
 
     /// Returns `true` if the machine may be reserved for the job's next task. Only one machine is reserved at a time;
     /// another machine may replace it once the reservation is older than `max_reservation`.
     pub fn may_reserve(&self, machine: &MachineId, max_reservation: Span, now: Time) -> bool {
-        self.reserved
+        self.reservation
             .as_ref()
             .is_none_or(|reservation| reservation.machine == *machine || now.since(reservation.since) > max_reservation)
     }
 
     /// Reserves a machine for the job's next task. An existing reservation of the same machine keeps its start time.
     pub fn reserve(&mut self, machine: &MachineId, now: Time) {
-        if self.reserved.as_ref().is_none_or(|reservation| reservation.machine != *machine) {
-            self.reserved = Some(Reservation { machine: machine.clone(), since: now });
+        if self.reservation.as_ref().is_none_or(|reservation| reservation.machine != *machine) {
+            self.reservation = Some(Reservation { machine: machine.clone(), since: now });
         }
     }
 }
@@ -238,7 +238,7 @@
     ///
     /// A priority that is only inherited counts as one level lower. Otherwise entire arrays with a near due time would
     /// be served before services, which have no due time, and would block all jobs of the next priority.
-    pub fn rank(&self) -> Priority {
+    pub fn queue_priority(&self) -> Priority {
         match self.priority() {
             same if same == self.spec.priority => same,
             inherited => inherited.next_lower(),
@@ -254,8 +254,8 @@
     /// Returns the expected run time of a task in seconds: the learned one if there is one, else the mean of the
     /// observed ones and the estimate, else the estimate. At least [`MIN_RUN_TIME_S`].
     pub fn run_time(&self) -> f64 {
-        let seconds = match self.runtimes.expected {
-            Some(expected) => expected.as_secs(),
+        let seconds = match self.runtimes.learned_run_time {
+            Some(learned) => learned.as_secs(),
             None => self.observed_runtimes.mean_s(self.spec.estimate_s),
         };
         seconds.max(MIN_RUN_TIME_S)
@@ -265,12 +265,12 @@
     ///
     /// The watermark is ahead of the next pending task, so that no start has to wait for a write of the record, but not
     /// far, since after a failover all tasks below the watermark have to be searched for. Once the next pending task is
-    /// within half of [`LOOKAHEAD`] of the recorded watermark, the watermark rises to twice `LOOKAHEAD` beyond that
-    /// task.
+    /// within half of [`START_WATERMARK_LOOKAHEAD`] of the recorded watermark, the watermark rises to twice
+    /// `START_WATERMARK_LOOKAHEAD` beyond that task.
     pub fn wanted_start_watermark(&self) -> u32 {
         match self.progress.pending.first() {
-            Some(next) if next + LOOKAHEAD / 2 >= self.record.start_watermark => {
-                self.record.start_watermark.max((next + 2 * LOOKAHEAD).min(self.spec.tasks))
+            Some(next) if next + START_WATERMARK_LOOKAHEAD / 2 >= self.record.start_watermark => {
+                self.record.start_watermark.max((next + 2 * START_WATERMARK_LOOKAHEAD).min(self.spec.tasks))
             }
             _ => self.record.start_watermark,
         }
--- a/src/coordination/shard/job_record.rs
+++ b/src/coordination/shard/job_record.rs
@@ -10,7 +10,7 @@
     /// Version of the record.
     pub version: Revision,
     /// Completed tasks that the record names.
-    pub recorded: RangeSet,
+    pub recorded_tasks: RangeSet,
     /// Number of tasks that had completed when the record was last written. May exceed the number of tasks that the
     /// record names, since the size of a record is limited.
     pub recorded_count: u32,
@@ -74,7 +74,7 @@
     pub(super) fn new(record: &LiveRecord, version: Revision, done: &RangeSet) -> JobRecordState {
         JobRecordState {
             version,
-            recorded: done.clone(),
+            recorded_tasks: done.clone(),
             recorded_count: done.len(),
             start_watermark: record.start_watermark.min(record.job.tasks),
             fails_everywhere: record.failing,
@@ -106,7 +106,7 @@
     pub fn progress_written(&mut self, progress: RecordedProgress, version: Revision) -> bool {
         self.version = version;
         self.final_write_in_doubt = false;
-        self.recorded = progress.done;
+        self.recorded_tasks = progress.done;
         self.recorded_count = progress.done_count;
         self.fails_everywhere = progress.fails_everywhere;
         let rises = progress.start_watermark > self.start_watermark;
@@ -122,8 +122,8 @@
     pub fn read_again(&mut self, record: &LiveRecord, version: Revision, tasks: u32) {
         self.final_write_in_doubt &= version == self.version;
         self.version = version;
-        self.recorded = RangeSet::parse(&record.done, tasks).unwrap_or_default();
-        self.recorded_count = self.recorded.len();
+        self.recorded_tasks = RangeSet::parse(&record.done, tasks).unwrap_or_default();
+        self.recorded_count = self.recorded_tasks.len();
         self.start_watermark = record.start_watermark.min(tasks);
         self.fails_everywhere = record.failing;
         self.outcome_unknown = false;
--- a/src/coordination/shard/mod.rs
+++ b/src/coordination/shard/mod.rs
@@ -40,7 +40,7 @@
 
 /// Number of tasks that the start watermark in a job's first record covers. Later records extend the watermark in
 /// proportion to this number, as described at [`Job::wanted_start_watermark`].
-pub(super) const LOOKAHEAD: u32 = 256;
+pub(super) const START_WATERMARK_LOOKAHEAD: u32 = 256;
 
 /// Maximum age of a machine's last heartbeat for the machine to be offered to other shards.
 const MAX_OFFERED_SILENCE: Span = Span::millis(4000);
--- a/src/coordination/shard/task_runtimes.rs
+++ b/src/coordination/shard/task_runtimes.rs
@@ -54,10 +54,10 @@
     /// Progress of each task that its stopped attempts have saved.
     saved: HashMap<u32, Span>,
     /// Observations of the job that the learner keeps.
-    pub track: forecast::JobObservations,
+    pub observations: forecast::JobObservations,
     /// Learned run time that plans use. `None` if plans use observed and estimated run times only, or nothing was
     /// learned yet.
-    pub expected: Option<Span>,
+    pub learned_run_time: Option<Span>,
 }
 
 /// Observed run of an attempt that is over.
--- a/src/coordination/state_admission.rs
+++ b/src/coordination/state_admission.rs
@@ -239,7 +239,7 @@
     }
 
     /// Returns `true` if a background write would be admitted.
-    pub fn is_quiet(&mut self, now: Time) -> bool {
+    pub fn would_admit_background_write(&mut self, now: Time) -> bool {
         TrafficClass::BackgroundWrite.policy().is_some_and(|policy| self.has_min_fill(now, &policy))
     }
 
--- a/src/coordination/state_operation.rs
+++ b/src/coordination/state_operation.rs
@@ -90,7 +90,7 @@
                 operation: WaitingRecordOperation::ReadLive,
                 ..
             })
-            | StateOperation::Machine(MachineOperation::Fetch { leadership }) => Some(*leadership),
+            | StateOperation::Machine(MachineOperation::ReadRecord { leadership }) => Some(*leadership),
             _ => None,
         }
     }
--- a/src/coordination/user_requests/cancellation.rs
+++ b/src/coordination/user_requests/cancellation.rs
@@ -66,6 +66,6 @@
             return self.reply(requester, Reply::busy(BusyReason::LeadershipOverlap));
         }
         job.cancel_requesters.push(requester);
-        self.write_end(shard_id, &id);
+        self.write_final_record(shard_id, &id);
     }
 }
--- a/src/coordination/user_requests/new_job.rs
+++ b/src/coordination/user_requests/new_job.rs
@@ -1,7 +1,7 @@
 //! A job that is being accepted: its submission and the first records written for it.
 
 use super::super::events::Requester;
-use super::super::shard::LOOKAHEAD;
+use super::super::shard::START_WATERMARK_LOOKAHEAD;
 use crate::coordination::leadership_term::LeadershipTerm;
 use crate::model::{JobId, JobSpec, Revision, ShardId};
 use crate::protocol::state::Change;
@@ -9,7 +9,7 @@
 use crate::storage::records::{self, LiveRecord, NO_SHARD, PartRecord, to_value};
 
 /// Start watermark of a new job: tasks below this number may be started before the job's record is written again.
-const INITIAL_START_WATERMARK: u32 = LOOKAHEAD;
+const INITIAL_START_WATERMARK: u32 = START_WATERMARK_LOOKAHEAD;
 
 /// The kind of controller that accepts a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/src/coordination/worker_heartbeats/mod.rs
+++ b/src/coordination/worker_heartbeats/mod.rs
@@ -35,7 +35,7 @@
     Transfer { leadership: LeadershipTerm, machine: MachineId, to: ShardId },
     /// Reads the record of a machine that may belong to this shard: it was transferred here, or its registration found
     /// a record of which this node did not know.
-    Fetch { leadership: LeadershipTerm },
+    ReadRecord { leadership: LeadershipTerm },
 }
 
 impl MachineOperation {
@@ -45,7 +45,7 @@
             MachineOperation::FindShard { .. } => TrafficClass::RecordRead,
             MachineOperation::Register { .. } => TrafficClass::MachineRecord,
             MachineOperation::RemoveRecord { .. } => TrafficClass::StaleRecord,
-            MachineOperation::Transfer { .. } | MachineOperation::Fetch { .. } => TrafficClass::MachineTransfer,
+            MachineOperation::Transfer { .. } | MachineOperation::ReadRecord { .. } => TrafficClass::MachineTransfer,
         }
     }
 
@@ -55,7 +55,7 @@
             MachineOperation::Register { leadership, .. }
             | MachineOperation::RemoveRecord { leadership, .. }
             | MachineOperation::Transfer { leadership, .. } => Some(*leadership),
-            MachineOperation::FindShard { .. } | MachineOperation::Fetch { .. } => None,
+            MachineOperation::FindShard { .. } | MachineOperation::ReadRecord { .. } => None,
         }
     }
 
@@ -81,7 +81,7 @@
             MachineOperation::Transfer { leadership, machine, to } => {
                 self.transfer_answered(leadership, machine, to, answer);
             }
-            MachineOperation::Fetch { leadership } => self.machine_record_fetched(leadership, answer),
+            MachineOperation::ReadRecord { leadership } => self.machine_record_read(leadership, answer),
         }
     }
 
--- a/src/coordination/worker_heartbeats/registration.rs
+++ b/src/coordination/worker_heartbeats/registration.rs
@@ -230,7 +230,7 @@
                 // lost, or the machine was transferred. The record is read to find its shard.
                 self.directory.forget_machine_shard(&heartbeat.machine);
                 let request = StateCall::Get(keys::machine_key(&heartbeat.machine));
-                self.call_state(request, MachineOperation::Fetch { leadership });
+                self.call_state(request, MachineOperation::ReadRecord { leadership });
                 self.reply(requester, Reply::busy(BusyReason::RecordedBefore));
             }
             _ => self.reply(requester, Reply::busy(BusyReason::StateUnreachable)),
@@ -257,7 +257,7 @@
     }
 
     /// Adds a machine whose record was read if the record names the shard of the given term, and queries the machine.
-    pub(super) fn machine_record_fetched(&mut self, leadership: LeadershipTerm, answer: StateResult) {
+    pub(super) fn machine_record_read(&mut self, leadership: LeadershipTerm, answer: StateResult) {
         let Ok(StateAnswer::Found(entry)) = answer else { return };
         self.load_machine_entry(leadership, &entry);
         self.query_machines(leadership.shard);
--- a/src/coordination/worker_heartbeats/serving.rs
+++ b/src/coordination/worker_heartbeats/serving.rs
@@ -157,9 +157,9 @@
     let task = attempt.task.clone();
     if attempt.is_over() {
         // The worker may forget a result only once the job's record contains it.
-        let result_is_unrecorded = jobs
-            .get(&task.job)
-            .is_some_and(|job| job.progress.done.contains(task.task.0) && !job.record.recorded.contains(task.task.0));
+        let result_is_unrecorded = jobs.get(&task.job).is_some_and(|job| {
+            job.progress.done.contains(task.task.0) && !job.record.recorded_tasks.contains(task.task.0)
+        });
         return (!result_is_unrecorded).then_some(Command::Forget { task, attempt: number });
     }
     let grace_s = attempt.save_time_before_stop_s(jobs)?;
--- a/src/service.rs
+++ b/src/service.rs
@@ -217,7 +217,7 @@
                 self.start_call(call, PendingCall::Probe);
                 send_request(transport, call, addr, &outgoing, PROBE_TIMEOUT);
             }
-            Action::Send { to, message } => self.send_to_peer(transport, &to, message),
+            Action::SendToPeer { to, message } => self.send_to_peer(transport, &to, message),
         }
     }
 
--- a/tests/simulation/controllers.rs
+++ b/tests/simulation/controllers.rs
@@ -354,7 +354,7 @@
                     self.schedule(at, ScheduledEvent::ProbeArrives { node, incarnation, call, to });
                 }
             }
-            Action::Send { to, message } => {
+            Action::SendToPeer { to, message } => {
                 let Some(peer) = self.controllers.iter().position(|controller| controller.label == to) else { return };
                 let envelope = Envelope { from: self.controllers[node].label.clone(), message };
                 let bytes = peers::encode(&envelope);
--- a/tests/simulation/digest.rs
+++ b/tests/simulation/digest.rs
@@ -69,7 +69,7 @@
                 self.number(call.0);
                 self.text(&addr.to_string());
             }
-            Action::Send { to, message } => {
+            Action::SendToPeer { to, message } => {
                 let envelope = Envelope { from: to.clone(), message: message.clone() };
                 self.bytes(&peers::encode(&envelope));
             }
