--- a/src/coordination/scale_in/mod.rs
+++ b/src/coordination/scale_in/mod.rs
@@ -156,8 +156,8 @@
 }
 
 impl DeletionLimits {
-    /// Returns `true` if a machine is to be deleted. `spare_machines` holds the machines to which the last plan assigned
-    /// no work.
+    /// Returns `true` if a machine is to be deleted. `spare_machines` holds the machines to which the last plan
+    /// assigned no work.
     fn should_delete(
         &self,
         id: &MachineId,
