--- a/src/coordination/forecasts/store.rs
+++ b/src/coordination/forecasts/store.rs
@@ -2,7 +2,7 @@
 //! over all job arrays of the shard.
 
 use super::super::cloud::Cloud;
-use super::super::scale_out::PLAN_PAUSE;
+use super::super::scale_out::PLAN_INTERVAL;
 use super::super::shard::{AttemptLocation, Job, Shard};
 use super::capacity::FreeCapacity;
 use super::snapshots::SnapshotState;
@@ -16,7 +16,7 @@
 use std::collections::HashMap;
 
 /// Minimum time between the starts of two rounds of forecasts, unless a user asks for a forecast that is missing.
-const ROUND_INTERVAL: Span = PLAN_PAUSE;
+const ROUND_INTERVAL: Span = PLAN_INTERVAL;
 
 /// Minimum time between the start of a round and the start of the next one on a user's request.
 const MIN_ROUND_INTERVAL: Span = Span::millis(200);
@@ -107,7 +107,7 @@
         for sample in std::mem::take(&mut samples.samples) {
             let Some(job) = shard.jobs.get_mut(&sample.job) else { continue };
             let work = work_of(&job.spec, sample.machine);
-            self.learner.learn(&work, sample.attempt, &mut job.runtimes.track, now);
+            self.learner.learn(&work, sample.attempt, &mut job.runtimes.observations, now);
             self.snapshot.count_learned();
         }
     }
@@ -141,7 +141,7 @@
             if context.settings.properties.forecast.plans
                 && let Some(job) = shard.jobs.get_mut(&id)
             {
-                job.runtimes.expected = Some(mean);
+                job.runtimes.learned_run_time = Some(mean);
             }
         }
         self.round = (round.jobs.len() > 0).then_some(round);
@@ -156,7 +156,7 @@
         context: &ForecastContext,
     ) -> (JobForecast, f64) {
         let machine = round.capacity.most_common_type(&job.spec);
-        let run = self.learner.predict(&work_of(&job.spec, machine), &job.runtimes.track);
+        let run = self.learner.predict(&work_of(&job.spec, machine), &job.runtimes.observations);
         let running = running_times(shard, job, context.now);
         let capacity = round.capacity.available_capacity(&job.spec, context.settings);
         let inputs = FinishInputs {
@@ -226,7 +226,7 @@
 
 /// Returns the minimum time to fetch a job's image, or zero while no machine type is known.
 fn image_fetch_time(spec: &JobSpec, cloud: &Cloud) -> Span {
-    let seconds = cloud.least_fetch(spec.image_gb);
+    let seconds = cloud.min_fetch_s(spec.image_gb);
     if seconds < f64::MAX { Span::secs(seconds) } else { Span::ZERO }
 }
 
--- a/src/coordination/job_persistence/end_of_job.rs
+++ b/src/coordination/job_persistence/end_of_job.rs
@@ -42,7 +42,7 @@
     pub(super) fn write_final_records(&mut self, shard_id: ShardId, ready: Vec<JobId>) {
         let now = self.now;
         for id in ready {
-            if self.write_end(shard_id, &id) == FinalRecordWrite::NotAdmitted {
+            if self.write_final_record(shard_id, &id) == FinalRecordWrite::NotAdmitted {
                 return;
             }
             if let Some(job) = self.job_mut(shard_id, &id) {
@@ -53,7 +53,7 @@
 
     /// Writes the final record of a job that is ending, unless the write has to wait. A write that is not admitted is
     /// retried by a later tick.
-    pub(in crate::coordination) fn write_end(&mut self, shard_id: ShardId, id: &JobId) -> FinalRecordWrite {
+    pub(in crate::coordination) fn write_final_record(&mut self, shard_id: ShardId, id: &JobId) -> FinalRecordWrite {
         let Some(state) = self.final_state_to_write(shard_id, id) else { return FinalRecordWrite::NotDue };
         if !self.admits(TrafficClass::FinalRecord) {
             return FinalRecordWrite::NotAdmitted;
@@ -115,12 +115,12 @@
     pub(super) fn job_ended(&mut self, shard_id: ShardId, id: &JobId, state: FinalState) {
         let Some(shard) = self.shards.get_mut(&shard_id) else { return };
         shard.record_interruptions(id);
-        self.learn_runtimes(shard_id);
+        self.learn_run_times(shard_id);
         let Some(shard) = self.shards.get_mut(&shard_id) else { return };
         let Some(job) = shard.jobs.remove(id) else { return };
         shard.stop_attempts_of(id);
         log::info!("job {id}: final state {state:?} is recorded; stopping its remaining attempts");
-        self.forecast_ended(shard_id, id, state);
+        self.judge_promise(shard_id, id, state);
         self.directory.forget_job_shard(id);
         self.directory.record_end(id.clone(), EndRecord { state, done: job.progress.done.len(), cause: None });
         self.prerequisite_ended(id, state);
--- a/src/coordination/placement/binding.rs
+++ b/src/coordination/placement/binding.rs
@@ -207,7 +207,7 @@
             sent_in: binding.heartbeat,
             running_since: None,
             progress: AttemptProgress::default(),
-            stop: None,
+            stop_grace_s: None,
         };
         log::debug!("task {task}: starting attempt {attempt_number} on machine {machine_id}");
         binding.free = binding.free.minus(&attempt.needs);
@@ -226,7 +226,7 @@
     fn end_waiting(&mut self, job_id: &JobId) {
         if let Some(job) = self.jobs.get_mut(job_id) {
             job.waiting.skipped_since = None;
-            job.waiting.reserved = None;
+            job.waiting.reservation = None;
         }
         self.queue.release_reservation(job_id);
     }
--- a/src/coordination/placement/urgency.rs
+++ b/src/coordination/placement/urgency.rs
@@ -34,7 +34,8 @@
         let until_deadline_s = self.spec.deadline_s.map(|within| within - since_accepted_s);
         let objectives = settings.finish_within.get(&self.spec.class).into_iter().flatten();
         let until_objectives_s = objectives.map(|within| within.as_secs() - since_ready_s);
-        let until_inherited_late_s = self.inherited_urgency.and_then(|urgency| urgency.late_ms).map(seconds_until);
+        let until_inherited_late_s =
+            self.inherited_urgency.and_then(|urgency| urgency.useful_until_ms).map(seconds_until);
         let late_factor = settings.late_factors.get(&self.spec.class).copied().unwrap_or(1.0);
         let until_late_s = self.spec.deadline_s.map(|within| within * late_factor - since_accepted_s);
         let mut until_limits_s = until_inherited_due_s
@@ -56,8 +57,8 @@
     }
 
     /// Returns `true` if the job is starved: no task of it runs, and the job became ready longer ago than
-    /// [`STARVATION_SKIP_LIMITS`] times the skip limit. Its next task then goes before all others of the same rank, so
-    /// that every job starts eventually, however many jobs are more urgent.
+    /// [`STARVATION_SKIP_LIMITS`] times the skip limit. Its next task then goes before all others of the same queue
+    /// priority, so that every job starts eventually, however many jobs are more urgent.
     pub fn is_starved(&self, settings: &Settings, wall_clock_ms: u64) -> bool {
         let waited = Span::millis(wall_clock_ms.saturating_sub(self.ready_ms));
         // A job that fails everywhere has no running task because of its own failures, not for lack of resources.
--- a/src/coordination/shard/mod.rs
+++ b/src/coordination/shard/mod.rs
@@ -11,7 +11,7 @@
 mod task_runtimes;
 mod waiting_jobs;
 
-pub(super) use fleet::{Booting, FleetState, Rental, RequestedOffer};
+pub(super) use fleet::{BootingMachine, FleetState, Rental, RequestedOffer};
 use job::JobProgress;
 pub(super) use job::{AttemptLocation, Job, QueueOrder};
 pub(super) use job_queue::JobQueue;
@@ -22,7 +22,7 @@
 
 use super::events::Requester;
 use super::leadership_term::LeadershipTerm;
-use super::waiting_jobs::JobDependencies;
+use super::waiting_jobs::WaitingJobs;
 use crate::model::{JobId, MachineId, Name, Quantity, Resources, Revision, ShardId};
 use crate::protocol::peers::MachineOffer;
 use crate::protocol::workers::{Exit, WorkerHeartbeat};
@@ -40,7 +40,7 @@
 
 /// Number of tasks that the start watermark in a job's first record covers. Later records extend the watermark in
 /// proportion to this number, as described at [`Job::wanted_start_watermark`].
-pub(super) const LOOKAHEAD: u32 = 256;
+pub(super) const START_WATERMARK_LOOKAHEAD: u32 = 256;
 
 /// Maximum age of a machine's last heartbeat for the machine to be offered to other shards.
 const MAX_OFFERED_SILENCE: Span = Span::millis(4000);
@@ -64,7 +64,7 @@
     /// Jobs that are queued or running.
     pub jobs: HashMap<JobId, Job>,
     /// Jobs that wait for prerequisites and may not start any task yet.
-    pub dependencies: JobDependencies,
+    pub waiting_jobs: WaitingJobs,
     /// Machines that are up.
     pub machines: BTreeMap<MachineId, Machine>,
     /// Machines that were requested or are booting, are being transferred, or are gone.
@@ -155,7 +155,7 @@
             loading: LoadingState::default(),
             recovery,
             jobs: HashMap::new(),
-            dependencies: JobDependencies::new(late_factors),
+            waiting_jobs: WaitingJobs::new(late_factors),
             machines: BTreeMap::new(),
             fleet: FleetState::default(),
             queue: JobQueue::default(),
@@ -194,7 +194,7 @@
         self.loading.retry = false;
         self.loading.read_at = None;
         self.jobs.clear();
-        self.dependencies.clear();
+        self.waiting_jobs.clear();
         self.machines.clear();
         self.jobs_with_unreconciled_tasks.clear();
         self.recovery.restart_loading();
@@ -225,10 +225,10 @@
     /// Returns the idle machines that this shard does not need and offers to other shards.
     pub fn offers(&self, now: Time) -> Vec<MachineOffer> {
         let offered = self.machines.iter().filter(|(id, machine)| {
-            self.fleet.spare.contains(*id)
+            self.fleet.spare_machines.contains(*id)
                 && machine.accepts_tasks(now)
                 && machine.attempts.is_empty()
-                && now.since(machine.seen) < MAX_OFFERED_SILENCE
+                && now.since(machine.last_contact_at) < MAX_OFFERED_SILENCE
         });
         offered
             .map(|(id, machine)| MachineOffer {
@@ -259,9 +259,9 @@
 
     fn insert_job(&mut self, record: LiveRecord, version: Revision, progress: JobProgress, waiting_since: Time) {
         let id = record.job.id.clone();
-        let urgency = self.dependencies.urgency(&record.job, record.accepted_ms);
-        self.dependencies.mark_live(&id, urgency);
-        let inherited_urgency = self.dependencies.inherited_urgency(&id);
+        let urgency = self.waiting_jobs.own_urgency(&record.job, record.accepted_ms);
+        self.waiting_jobs.mark_runnable(&id, urgency);
+        let inherited_urgency = self.waiting_jobs.inherited_urgency(&id);
         let job = Job::new(record, version, progress, inherited_urgency, waiting_since);
         if job.is_complete() {
             self.finished.push(id.clone());
@@ -308,7 +308,7 @@
         let mut machine = Machine::new(record, addr, version, self.term, now);
         machine.reconciled_by = reconciled_by;
         let class = MachineClass { kind: record.kind.clone(), zone: record.zone.clone(), spot: record.spot };
-        self.recovery.inherit(&id, class, size);
+        self.recovery.add_unreconciled_machine(&id, class, size);
         self.machines.insert(id, machine);
     }
 
@@ -349,7 +349,7 @@
 
     /// Records that no attempt unknown to this leader can be running on the machine any more.
     fn end_reconciliation_of(&mut self, id: &MachineId, now: Time) {
-        if self.recovery.reconciled(id, now) {
+        if self.recovery.record_reconciled(id, now) {
             self.release_reconciled_tasks();
         }
     }
--- a/src/coordination/shard_recovery/machine_queries.rs
+++ b/src/coordination/shard_recovery/machine_queries.rs
@@ -51,7 +51,7 @@
 impl Controller {
     /// Queries the next unreconciled machines by direct calls, without waiting until their workers find this node. The
     /// workers answer under the new fencing token.
-    pub(in crate::coordination) fn sweep(&mut self, shard_id: ShardId) {
+    pub(in crate::coordination) fn query_machines(&mut self, shard_id: ShardId) {
         if !self.may_renew_worker_leases(shard_id) {
             return;
         }
@@ -66,7 +66,7 @@
                     let request = WorkerCall { token: machine.token, epoch, commands: Vec::new() };
                     calls.push((id, machine.addr, request));
                 }
-                _ => shard.recovery.unanswered(&id, now),
+                _ => shard.recovery.record_unanswered_query(&id, now),
             }
         }
         for (id, addr, request) in calls {
@@ -88,16 +88,16 @@
             Ok(answer) if holds_lease => ReconciliationAnswer::of(answer, id, machine),
             Ok(_) => ReconciliationAnswer::Unusable,
             Err(_) => {
-                machine.unanswered += 1;
+                machine.unanswered_calls += 1;
                 ReconciliationAnswer::Unusable
             }
         };
         match answer {
             ReconciliationAnswer::Current(heartbeat) => self.reconcile_machine(shard_id, &heartbeat),
             ReconciliationAnswer::OtherEpoch(epoch) => self.call_in_epoch(shard_id, id, epoch),
-            ReconciliationAnswer::Unusable => shard.recovery.unanswered(id, now),
+            ReconciliationAnswer::Unusable => shard.recovery.record_unanswered_query(id, now),
         }
-        self.sweep(shard_id);
+        self.query_machines(shard_id);
     }
 
     /// Applies a heartbeat that lists a machine's attempts under this leader's fencing token, and marks the machine as
@@ -107,11 +107,11 @@
         let Some(shard) = self.shards.get_mut(&shard_id) else { return };
         let Some(machine) = shard.machines.get_mut(id) else { return };
         machine.last_heartbeat = HeartbeatNumber::of(heartbeat);
-        machine.seen = now;
+        machine.last_contact_at = now;
         machine.reconciled_by = machine.reconciled_by.max(now);
         // The worker lease was granted by the leader that answered last, and may run on until the machine sends a
         // heartbeat to this node.
-        machine.answered = Some(machine.answered.map_or(now, |at| at.max(now)));
+        machine.last_answered_at = Some(machine.last_answered_at.map_or(now, |at| at.max(now)));
         shard.apply_heartbeat(heartbeat, now);
         shard.mark_reconciled(id, now);
         self.finish_jobs(shard_id);
@@ -124,7 +124,7 @@
         let Some(machine) = shard.machines.get_mut(id) else { return };
         machine.last_heartbeat = HeartbeatNumber::before_epoch(epoch);
         let (addr, token) = (machine.addr, machine.token);
-        shard.recovery.queried_again(id, now);
+        shard.recovery.record_repeated_query(id, now);
         self.call_worker(shard_id, id, addr, WorkerCall { token, epoch, commands: Vec::new() });
     }
 }
