--- a/src/coordination/controller.rs
+++ b/src/coordination/controller.rs
@@ -14,7 +14,7 @@
 use super::relay::Relays;
 use super::replica::Replica;
 use super::request_statistics::RequestStatistics;
-use super::scale_in::RemovedMachines;
+use super::scale_in::DeletedMachines;
 use super::shard::Shard;
 use super::shard_recovery::RecoveryLog;
 use super::state_admission::TrafficClass;
@@ -80,13 +80,13 @@
     /// Requests of this node's clients that were forwarded to other controllers and are not answered yet.
     pub(super) forwarded: ForwardedRequests,
     /// Requests of users that wait for an answer of the state service.
-    pub(super) users: UserRequests,
+    pub(super) user_requests: UserRequests,
     /// Cache of the shards of jobs and machines, and of the final records of ended jobs.
     pub(super) directory: Directory,
     /// Machines that wait until their records may be written.
     pub(super) registrations: Registrations,
     /// Machines that were deleted, whose delayed heartbeats must not register them again.
-    pub(super) removed_machines: RemovedMachines,
+    pub(super) deleted_machines: DeletedMachines,
     /// Workers whose heartbeats this node relays to the leader of their shard.
     pub(super) relays: Relays,
     /// Idle machines that other controllers offer for transfer.
@@ -118,10 +118,10 @@
             shards: BTreeMap::new(),
             recoveries: RecoveryLog::new(now),
             forwarded: ForwardedRequests::default(),
-            users: UserRequests::default(),
+            user_requests: UserRequests::default(),
             directory: Directory::new(settings.properties.ended_jobs_kept),
             registrations: Registrations::default(),
-            removed_machines: RemovedMachines::default(),
+            deleted_machines: DeletedMachines::default(),
             relays: Relays::default(),
             offers: PeerOffers::default(),
             cloud: Cloud::new(&settings),
@@ -186,7 +186,7 @@
         let requests_per_second = self.settings.state_rps * self.fraction_of_limit(EVEN_FRACTION_OF_REQUESTS);
         let fraction_of_writes = self.fraction_of_limit(EVEN_FRACTION_OF_WRITES);
         self.calls.set_rate_limit_share(requests_per_second, fraction_of_writes);
-        self.cloud.set_share(self.settings.cloud_rps * fraction_of_writes);
+        self.cloud.set_rate(self.settings.cloud_rps * fraction_of_writes);
     }
 
     /// Returns this node's fraction of a rate limit. `even_fraction` of the limit is divided evenly among all
@@ -242,7 +242,7 @@
 
     /// Sends a message to another controller.
     pub(super) fn send_to_peer(&mut self, to: NodeLabel, message: PeerMessage) {
-        self.calls.push(Action::Send { to, message });
+        self.calls.push(Action::SendToPeer { to, message });
     }
 
     /// Returns `true` if a call of this class may be sent to the state service now. The caller must then send it before
@@ -281,7 +281,7 @@
             }
             ClientRequest::WorkerHeartbeat(heartbeat) => self.handle_heartbeat(requester, heartbeat),
             ClientRequest::Submit(Ok(spec)) => self.submit(requester, spec),
-            ClientRequest::Submit(Err(invalid)) => self.reject(requester, invalid),
+            ClientRequest::Submit(Err(invalid)) => self.reject_invalid_submission(requester, invalid),
             ClientRequest::Poll(job) => self.poll(requester, job),
             ClientRequest::Cancel(job) => self.cancel(requester, job),
             ClientRequest::Forecast(job) => self.forecast(requester, job),
@@ -373,11 +373,11 @@
         }
         match request {
             ForwardedRequest::Submit(spec) | ForwardedRequest::SubmitWaiting(spec) => {
-                self.submit_here(requester, shard, *spec);
+                self.submit_as_leader(requester, shard, *spec);
             }
-            ForwardedRequest::Poll(job) => self.poll_here(requester, shard, job),
-            ForwardedRequest::Cancel(job) => self.cancel_here(requester, shard, job),
-            ForwardedRequest::Forecast(job) => self.forecast_here(requester, shard, job),
+            ForwardedRequest::Poll(job) => self.poll_as_leader(requester, shard, job),
+            ForwardedRequest::Cancel(job) => self.cancel_as_leader(requester, shard, job),
+            ForwardedRequest::Forecast(job) => self.forecast_as_leader(requester, shard, job),
             ForwardedRequest::WorkerHeartbeat(heartbeat) => self.handle_heartbeat(requester, heartbeat),
         }
     }
--- a/src/coordination/shard/task_runtimes/tests.rs
+++ b/src/coordination/shard/task_runtimes/tests.rs
@@ -24,7 +24,7 @@
         let now = Time(1_000_000);
         let mut shard = Shard::new(
             LeadershipTerm { shard: ShardId(0), term: Revision(5) },
-            Recovery::acquired(now, 1, true),
+            Recovery::new(now, 1, true),
             Arc::default(),
         );
         shard.runtime_samples = Some(RuntimeSamples::new(Span::millis(1000)));
@@ -58,7 +58,7 @@
             sent_in: HeartbeatNumber { epoch: AgentEpoch(1), seq: SequenceNumber(self.seq) },
             running_since: None,
             progress: AttemptProgress::default(),
-            stop: None,
+            stop_grace_s: None,
         };
         self.shard.place(&self.machine, AttemptNumber(attempt_number), attempt);
     }
