--- a/tests/simulation/assertions.rs
+++ b/tests/simulation/assertions.rs
@@ -1,4 +1,4 @@
-//! Assertions that many tests make.
+//! Assertions shared by many tests.
 
 use super::*;
 use std::fmt::Display;
@@ -10,27 +10,28 @@
         self.assert_no_violations_in("");
     }
 
-    /// Panics if a safety rule was violated, and names the test case.
+    /// Panics if a safety rule was violated. `case` names the test case in the message.
     #[track_caller]
     pub fn assert_no_violations_in(&self, case: impl Display) {
         let (seed, violations) = (self.seed, &self.violations);
         assert!(violations.is_empty(), "{case} seed {seed}: {violations:#?}\n{}", self.trace.join("\n"));
     }
 
-    /// Panics if a job that should be done by now is not.
+    /// Panics if a job has not been reported as done, except services, long jobs and cancelled ones.
     #[track_caller]
     pub fn assert_no_unfinished_jobs(&self) {
         self.assert_no_unfinished_jobs_in("");
     }
 
-    /// Panics if a job that should be done by now is not, and names the test case.
+    /// Panics if a job has not been reported as done, except services, long jobs and cancelled ones. `case` names the
+    /// test case in the message.
     #[track_caller]
     pub fn assert_no_unfinished_jobs_in(&self, case: impl Display) {
         let unfinished = self.unfinished_jobs();
         assert!(unfinished.is_empty(), "{case} seed {}: never done: {unfinished:?}", self.seed);
     }
 
-    /// Panics unless every job that was accepted is done or cancelled, itself or through a prerequisite.
+    /// Panics unless every accepted job is done or cancelled, directly or because a prerequisite was cancelled.
     #[track_caller]
     pub fn assert_accepted_jobs_ended(&self) {
         let open: Vec<&JobId> = (0..self.users.len())
@@ -52,14 +53,14 @@
         assert!(not_accepted <= max, "seed {}: {not_accepted} jobs were never accepted", self.seed);
     }
 
-    /// Panics if the state service rejected a transaction for its size.
+    /// Panics if the state service rejected a transaction because of its size.
     #[track_caller]
     pub fn assert_nothing_rejected_for_size(&self) {
         let rejected = &self.state_service.rejected_for_size;
         assert!(rejected.is_empty(), "seed {}: rejected for size: {rejected:?}", self.seed);
     }
 
-    /// Whether a rule was violated.
+    /// Returns `true` if one of the rules was violated.
     pub fn violates(&self, rules: &[Rule]) -> bool {
         self.violations.iter().any(|violation| rules.contains(&violation.rule))
     }
--- a/tests/simulation/checker.rs
+++ b/tests/simulation/checker.rs
@@ -1,51 +1,52 @@
-//! The checker of the safety rules.
+//! Checks of the safety rules that concern the execution of tasks.
 //!
-//! What users are told is checked in `user_answers`, and rejected submissions in `malformed_requests`.
+//! The module `user_answers` checks the answers to users, and `malformed_requests` the rejection of invalid
+//! submissions.
 
 use super::*;
 use std::fmt;
 use workers::Worker;
 
-/// How long a task may wait although a machine has room for it.
+/// Longest time for which a task may wait although a machine has room for it.
 const MAX_STARVATION: u64 = 90 * SEC;
 
-/// How long a machine that has recovered from a fault is not expected to get tasks.
+/// Time after a fault of a machine during which the machine need not get tasks.
 const RECOVERY_TIME: u64 = 10 * SEC;
 
-/// The violations that are kept at most.
+/// Maximum number of violations that are recorded.
 const MAX_VIOLATIONS: usize = 20;
 
-/// A rule that controllers must keep whatever happens.
+/// Safety or liveness rule that controllers must keep under all faults.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rule {
-    /// A task runs on one machine at a time.
+    /// No task runs on two machines at the same time.
     RanTwice,
-    /// A task does not run long after its user was told that the job is cancelled.
+    /// No task runs for longer than [`CANCELLATION_BOUND`] after its job was reported as cancelled.
     RanCancelled,
-    /// A task does not start before its job's prerequisites are done.
+    /// No task starts before all tasks of its job's prerequisites are completed.
     TooEarly,
-    /// A task runs where its job allows it to.
+    /// Tasks run only on the machine types, zones and spot machines that their job allows.
     WrongPlace,
-    /// A team does not use more than its quota.
+    /// No team uses more than its quota.
     Quota,
-    /// A task does not wait for long although a machine has room for it.
+    /// Once the faults are over, no task starves although a machine has room for it.
     Idle,
-    /// Nothing is started or answered of a job that was not submitted.
+    /// No task is started and no state is reported of a job that was not submitted.
     Invented,
-    /// A user is not told an older state than before.
+    /// No controller reports an older state of a job than one that its user has already been told.
     WentBack,
-    /// An accepted job is known to every controller, and its user gets answers.
+    /// Every controller knows an accepted job, and its user gets answers once the faults are over.
     Forgotten,
-    /// A job is called done only after all of its tasks were completed.
+    /// A job is reported as done only after all of its tasks were completed.
     NotDone,
-    /// A job is not called live long after one of its prerequisites was cancelled.
+    /// No job is reported as live for longer than [`CANCELLATION_BOUND`] after one of its prerequisites was cancelled.
     Orphaned,
-    /// A submission that cannot be accepted is rejected.
+    /// Submissions that are malformed or can never be executed are rejected.
     AcceptedOdd,
 }
 
 impl fmt::Display for Rule {
-    /// Writes the rule's name in the operators' reports.
+    /// Writes the name under which the operators' reports list the rule.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Rule::RanTwice => "ran_twice",
@@ -78,7 +79,7 @@
     }
 }
 
-/// What a team may use at most; `None` stands for no limit.
+/// Upper bounds of the resources that a team may use. `None`: no bound.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Quota {
     pub cpus: Option<Quantity>,
@@ -86,31 +87,31 @@
 }
 
 impl Quota {
-    /// Whether a team may use that much.
+    /// Returns `true` if the used resources are within the quota.
     fn allows(&self, used: &Resources) -> bool {
         self.cpus.is_none_or(|max| used.cpus <= max) && self.gpus.is_none_or(|max| used.gpus <= max)
     }
 }
 
-/// The tasks that are placed, and the room that is left for more.
+/// Tasks that are placed on machines, and the resources that are left for others.
 #[derive(Default)]
 struct PlacedTasks<'a> {
     used_by_team: BTreeMap<Name, Resources>,
-    /// The tasks of each job, with their zones.
+    /// Placed tasks of each job by index, with their zones.
     placed: HashMap<&'a JobId, Vec<(u32, &'a Name)>>,
-    /// The machines that must get tasks, with what is left of them.
+    /// Machines that are expected to get tasks, with their free resources.
     room: Vec<(&'a Worker, Resources)>,
 }
 
 impl Simulation {
-    /// Records a violation.
+    /// Records a violation unless [`MAX_VIOLATIONS`] have been recorded already.
     pub(super) fn record_violation(&mut self, rule: Rule, detail: String) {
         if self.violations.len() < MAX_VIOLATIONS {
             self.violations.push(Violation { at: self.now, rule, detail });
         }
     }
 
-    /// Checks the start of a task that the machine was commanded at `commanded_at`.
+    /// Checks the start of a task. `commanded_at` is the time at which the machine executed the start command.
     pub(super) fn check_start(&mut self, machine: u32, task: &TaskId, commanded_at: u64) {
         self.starts += 1;
         let Some(user) = self.users.iter().position(|user| user.spec.id == task.job) else {
@@ -121,7 +122,7 @@
         self.check_placement(machine, task, user);
     }
 
-    /// Checks that the job is not cancelled and that its prerequisites are done.
+    /// Checks that the job has not been cancelled for too long and that its prerequisites are done.
     fn check_start_is_wanted(&mut self, machine: u32, task: &TaskId, commanded_at: u64, user: usize) {
         if let Some(cancelled_at) = self.users[user].cancelled_at {
             let starts = &mut self.observations.starts_after_cancellation;
@@ -153,7 +154,7 @@
         }
     }
 
-    /// Checks that the machine is one of those that the job allows.
+    /// Checks that the job allows the machine's type, zone and price model, and the distribution over the zones.
     fn check_placement(&mut self, machine: u32, task: &TaskId, user: usize) {
         let spec = &self.users[user].spec;
         let Some(here) = self.workers.get(&machine) else { return };
@@ -174,7 +175,7 @@
         }
     }
 
-    /// Checks all machines after each step of the workers.
+    /// Checks the rules that concern all machines. Called after each step of the workers.
     pub(super) fn check_machines(&mut self) {
         self.check_running_tasks();
         if self.now % SEC < WORKERS_STEP {
@@ -182,7 +183,7 @@
         }
     }
 
-    /// Checks the teams' quotas, and that tasks of cancelled jobs do not run for too long.
+    /// Checks the quotas of the teams, and that no task of a cancelled job runs for too long.
     fn check_running_tasks(&mut self) {
         let mut used_by_team: BTreeMap<Name, Resources> = BTreeMap::new();
         let (mut running_too_long, mut longest) = (None, 0);
@@ -211,7 +212,7 @@
         }
     }
 
-    /// Checks, after the faults are over, that no task waits for long although a machine has room for it.
+    /// Checks, once the faults are over, that no task waits for too long although a machine has room for it.
     fn check_starvation(&mut self) {
         let Some(faults_over_from) = self.faults_over_from.filter(|from| self.now >= *from) else { return };
         let placed_tasks = self.placed_tasks();
@@ -231,7 +232,7 @@
         }
     }
 
-    /// Returns what is placed and what room is left.
+    /// Returns the placed tasks and the free resources of the machines.
     fn placed_tasks(&self) -> PlacedTasks<'_> {
         let users = self.users_by_job();
         let mut result = PlacedTasks::default();
@@ -253,7 +254,8 @@
         result
     }
 
-    /// Whether a task of the user's job waits although it may run, its team's quota allows it and a machine has room.
+    /// Returns `true` if a task of the user's job waits although it may run, its team's quota allows it and a machine
+    /// has room for it.
     fn has_room_for_a_task_of(&self, user: usize, placed_tasks: &PlacedTasks) -> bool {
         let user = &self.users[user];
         let prerequisites_done = user.prerequisites.iter().all(|other| self.users[*other].done_at.is_some());
@@ -284,6 +286,7 @@
         })
     }
 
+    /// Returns the quota of a team, without bounds if the team has none.
     fn quota(&self, team: &Name) -> Quota {
         self.quotas.get(team).copied().unwrap_or_default()
     }
--- a/tests/simulation/cloud.rs
+++ b/tests/simulation/cloud.rs
@@ -1,4 +1,4 @@
-//! The simulated cloud, which rents out worker machines.
+//! Simulated cloud, which rents out worker machines.
 
 use super::workers::{Worker, machine_id, machine_number};
 use super::*;
@@ -7,13 +7,13 @@
 use crowstall::time::Span;
 use std::collections::VecDeque;
 
-/// When a machine is up that never boots.
+/// Boot time of a machine that never boots: longer than any simulation.
 const NEVER: u64 = 10_000 * SEC;
 
-/// How many past lists of machines are kept.
+/// Maximum number of past lists of machines that are kept.
 const MAX_PAST_LISTS: usize = 40;
 
-/// A machine as the cloud lists it.
+/// Rented machine as the cloud lists it.
 struct RentedMachine {
     kind: Name,
     zone: Name,
@@ -21,46 +21,46 @@
     rented_at: u64,
 }
 
-/// The list of machines as it was at an earlier time.
+/// List of machines at an earlier time.
 struct PastList {
     taken_at: u64,
     machines: Vec<ListedMachine>,
 }
 
-/// The state of the cloud.
+/// State of the cloud, with its injected faults and its counters.
 #[derive(Default)]
 pub struct Cloud {
-    /// The answers to rent requests, which are idempotent.
+    /// Machines rented by each request, by the request's identifier. Rent requests are idempotent.
     completed_requests: HashMap<String, Vec<u32>>,
     next_machine: u32,
     machines: BTreeMap<u32, RentedMachine>,
-    /// Lists of machines at earlier times, since a list may be some seconds old.
+    /// Lists of machines at earlier times, oldest first: list calls get one that is some seconds old.
     past_lists: VecDeque<PastList>,
-    /// Until when no machine can be rented.
+    /// End of the period in which no machine can be rented.
     pub no_capacity_until: u64,
-    /// Until when no machine can be returned.
+    /// End of the period in which delete calls are refused.
     pub deletes_refused_until: u64,
-    /// How many machines of a type can be rented in a zone: ordinary ones, and spot machines.
+    /// Maximum numbers of rented machines of each type in each zone: ordinary machines, and spot machines.
     pub stock: [usize; 2],
-    /// Whether all machines boot in time and none is faulty.
+    /// `true` if all machines boot and none is faulty.
     pub reliable: bool,
-    /// By how much boot times in the east and in the west are multiplied; `None` in a zone: machines never boot there.
+    /// Factors on the boot times in the zones east and west. `None` in a zone: machines never boot there.
     pub boot_time_factors: Option<[Option<f64>; 2]>,
-    /// How many machines were rented.
+    /// Number of machines rented so far.
     pub rented: u64,
-    /// How many machines were returned.
+    /// Number of machines deleted by controllers so far.
     pub deleted: u64,
-    /// Whether machines with GPUs are offered.
+    /// `true` if machines with GPUs are offered.
     pub offers_gpus: bool,
-    /// Machines of others, which are listed after all machines of this simulation.
+    /// Machines that belong to others. They are listed after all machines of the simulation.
     pub foreign_machines: Vec<ListedMachine>,
-    /// How many machines a page of the list has. None: the list comes in one page.
+    /// Maximum number of machines in a page of the list. `None`: the list has a single page.
     pub page_size: Option<usize>,
-    /// How many calls a second are allowed, with bursts of two seconds' worth. None: any number.
+    /// Limit on the calls per second, with bursts of two seconds' worth. `None`: no limit.
     pub call_limit: Option<RateLimiter>,
-    /// How many calls were refused because of this limit.
+    /// Number of calls refused because of the limit on calls.
     pub calls_over_limit: u64,
-    /// How many lists were read to their end.
+    /// Number of list calls that returned the last page.
     pub complete_lists: u64,
 }
 
@@ -109,7 +109,7 @@
         }
     }
 
-    /// A page of the list of machines as it was some seconds ago.
+    /// Returns a page of the list of machines as it was 3 to 10 s ago.
     fn machine_list_page(&mut self, after: Option<&MachineId>) -> CloudAnswer {
         let lag = self.rng.random_range(3 * SEC..10 * SEC);
         let mut listed = self.machine_list_at(self.now.saturating_sub(lag));
@@ -127,6 +127,7 @@
         types
     }
 
+    /// Rents up to `count` machines, or returns those that the same request has rented before.
     fn rent_machines(&mut self, request: &str, kind: &Name, zone: &Name, spot: bool, count: usize) -> CloudAnswer {
         let rented =
             |machines: &[u32]| CloudAnswer::Rented(machines.iter().map(|number| machine_id(*number)).collect());
@@ -146,7 +147,8 @@
         answer
     }
 
-    /// Begins to boot a machine and returns its number.
+    /// Starts to boot a machine and returns its number. Unless the cloud is reliable, one machine in 40 never boots and
+    /// all tasks fail on one in 25.
     fn boot_machine(&mut self, kind: &Name, zone: &Name, spot: bool) -> u32 {
         let number = self.cloud.next_machine;
         self.cloud.next_machine += 1;
@@ -169,7 +171,7 @@
         number
     }
 
-    /// Keeps the current list of machines for later list calls.
+    /// Records the current list of machines for later list calls.
     pub(super) fn record_machine_list(&mut self) {
         let now = self.now;
         let listed = self.cloud.machines.iter().map(|(number, machine)| ListedMachine {
@@ -196,7 +198,7 @@
         list.map(|list| list.machines.clone()).unwrap_or_default()
     }
 
-    /// Has the cloud take back a machine.
+    /// Removes a machine without a request, as the cloud does with a spot machine.
     pub fn reclaim_machine(&mut self, number: u32) {
         self.cloud.machines.remove(&number);
         self.workers.remove(&number);
--- a/tests/simulation/controllers.rs
+++ b/tests/simulation/controllers.rs
@@ -1,21 +1,22 @@
-//! The processes of the controllers: starting, crashing and freezing them, and carrying out their actions.
+//! Controller processes: starts, crashes and freezes them, and carries out their actions.
 
 use super::*;
 use crowstall::protocol::peers::Envelope;
 
-/// The number of controllers.
+/// Number of controllers.
 pub const CONTROLLERS: usize = 3;
 
-/// The time between two ticks of a controller.
+/// Interval between two ticks of a controller.
 const TICK: u64 = 100 * MS;
 
 /// Probability that a call takes up to 30 s to arrive at the cloud.
 const SLOW_CLOUD_CALL_PROBABILITY: f64 = 0.02;
 
-/// How often the clocks of controllers stop, and for how long, without `DisabledSafeguard::RunningClocks`.
+/// Duration for which one controller's clock stands still under [`DisabledSafeguard::RunningClocks`], before the next
+/// one's does.
 const CLOCK_STOP: u64 = 20 * SEC;
 
-/// The service that a controller has called.
+/// Kind of endpoint that a controller calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CalledService {
     State,
@@ -25,7 +26,7 @@
 }
 
 impl CalledService {
-    /// How long a controller waits for an answer.
+    /// Returns the time for which a controller waits for an answer.
     fn call_timeout(self) -> u64 {
         match self {
             CalledService::State => 1200 * MS,
@@ -35,7 +36,7 @@
         }
     }
 
-    /// Returns the event that tells a controller that a call has got no answer.
+    /// Returns the event that notifies a controller of a call without an answer.
     pub fn timeout(self, call: OutboundCallId) -> Event {
         match self {
             CalledService::State => Event::State { call, answer: Err(CallError::NoAnswer) },
@@ -46,31 +47,32 @@
     }
 }
 
-/// The sender of a client request.
+/// Sender of a client request.
 #[derive(Clone, Debug)]
 pub enum RequestOrigin {
-    /// A user, by index, with the number of the request.
+    /// User, by index, with the number of the request.
     User { user: usize, request_number: u64 },
-    /// A worker, with the sequence number of its heartbeat.
+    /// Worker machine, by number, with the sequence number of its heartbeat.
     Worker { machine: u32, heartbeat: u64 },
-    /// The sender of a submission that has to be rejected.
+    /// Sender of a submission that has to be rejected.
     MalformedRequest { job: JobId, expected: malformed_requests::Rejection },
 }
 
-/// A controller and its current process.
+/// Controller with its current process.
 pub(super) struct SimulatedController {
     pub(super) label: NodeLabel,
-    /// The running process, unless it has crashed.
+    /// Running process; `None` after a crash, and always if the controllers run as separate processes.
     pub(super) process: Option<Controller>,
+    /// Number of processes started so far.
     pub(super) incarnation: u64,
-    /// The speed of its clock relative to the simulation's.
+    /// Speed of the steady clock relative to simulated time.
     clock_rate: f64,
     /// Outbound calls without an answer.
     pub(super) pending_calls: BTreeSet<OutboundCallId>,
     /// Client requests without a reply.
     open_requests: HashMap<u64, RequestOrigin>,
     started_at: u64,
-    /// Until when the process does nothing while its clock goes on.
+    /// End of the period in which the process handles no events while its clock continues.
     pub(super) frozen_until: u64,
 }
 
@@ -92,7 +94,7 @@
 
 /// Faults of controllers.
 impl Simulation {
-    /// Kills a controller process; the next one starts after `down_for`.
+    /// Kills a controller process and starts a new one after `down_for`.
     pub fn crash(&mut self, node: usize, down_for: u64) {
         self.trace_line(|| format!("controller {node} crashes"));
         if let Some(remote) = &mut self.remote {
@@ -111,7 +113,8 @@
         (0..CONTROLLERS).for_each(|node| self.crash(node, down_for));
     }
 
-    /// Stops a controller process for a while, as if its machine was overloaded; what arrives for it waits.
+    /// Suspends a controller process for a while, as if its machine were overloaded. Events for the process are
+    /// delivered afterwards.
     pub fn freeze(&mut self, node: usize, duration: u64) {
         self.trace_line(|| format!("controller {node} is frozen for {} ms", duration / MS));
         match &mut self.remote {
@@ -120,16 +123,16 @@
         }
     }
 
-    /// Has the next process of a controller use another label and address.
+    /// Sets the label and the address that the next process of a controller uses.
     pub fn relabel(&mut self, node: usize, label: &str, front: &str) {
         self.settings[node] = settings::parse_settings(&settings::platform_file(label, front), true, "");
         self.controllers[node].label = NodeLabel::new(label);
     }
 }
 
-/// What tests ask about controllers.
+/// Queries and requests of tests.
 impl Simulation {
-    /// Whether a controller process is running.
+    /// Returns `true` if a controller process is running.
     pub fn is_up(&self, node: usize) -> bool {
         match &self.remote {
             Some(remote) => remote.is_up(node),
@@ -137,23 +140,23 @@
         }
     }
 
-    /// Returns the controllers that are running.
+    /// Returns the indices of the running controllers.
     pub fn running_controllers(&self) -> Vec<usize> {
         (0..CONTROLLERS).filter(|node| self.is_up(*node)).collect()
     }
 
-    /// Returns the leader of a shard according to the state service.
+    /// Returns the leader of a shard as recorded in the state service.
     pub fn leader(&self, shard: u32) -> Option<usize> {
         let label = self.state_service.leader(shard)?;
         self.controllers.iter().position(|controller| controller.label.as_str() == label)
     }
 
-    /// Returns the leader of the first shard, which must have one.
+    /// Returns the leader of the first shard. Panics if there is none.
     pub fn current_leader(&self) -> usize {
         self.leader(0).expect("the shard has a leader")
     }
 
-    /// Returns the reply of a controller if it needs no call for it.
+    /// Returns the reply of a controller, or `None` if the controller has to make a call first.
     pub fn immediate_reply(&mut self, node: usize, request: ClientRequest) -> Option<Reply> {
         let clock = self.clock(node);
         let asked = ClientRequestId(u64::MAX);
@@ -165,7 +168,7 @@
         })
     }
 
-    /// Sends a request to a controller and runs until its reply or until the timeout.
+    /// Sends a request to a controller and runs until the reply or the timeout.
     pub fn request(&mut self, node: usize, request: ClientRequest, timeout: u64) -> Option<Reply> {
         let id = ClientRequestId(self.next_sequence_number());
         self.awaited_reply = None;
@@ -190,18 +193,19 @@
         }
     }
 
-    /// Returns the reply of a controller to a request for a job's forecast, if it needs no call for it.
+    /// Returns the reply of a controller to a request for a job's forecast, or `None` if the controller has to make a
+    /// call first.
     pub fn forecast_reply(&mut self, node: usize, job: &JobId) -> Option<Reply> {
         self.immediate_reply(node, ClientRequest::Forecast(job.clone()))
     }
 
-    /// Returns what a controller reports on the recovery of the first shard that it leads.
+    /// Returns a controller's report on the recovery of the first shard that it leads.
     pub fn recovery_status(&mut self, node: usize) -> serde_json::Value {
         let reply = self.immediate_reply(node, ClientRequest::Recoveries).map(|reply| reply.body).unwrap_or_default();
         serde_json::from_str::<serde_json::Value>(&reply).map(|status| status["held"][0].clone()).unwrap_or_default()
     }
 
-    /// Returns how much work the controllers have done for heartbeats so far.
+    /// Returns the work that the running controllers have done for heartbeats so far.
     pub fn heartbeat_work(&self) -> HeartbeatWork {
         let processes = self.controllers.iter().filter_map(|controller| controller.process.as_ref());
         HeartbeatWork { steps: processes.map(Controller::inspections).sum(), heartbeats: self.heartbeats }
@@ -211,15 +215,15 @@
 /// Work that the controllers have done for heartbeats.
 #[derive(Clone, Copy, Debug)]
 pub struct HeartbeatWork {
-    /// How many entries of their tables they have inspected.
+    /// Number of table entries inspected by the controllers.
     pub steps: u64,
-    /// How many heartbeats they have handled.
+    /// Number of heartbeats handled by the controllers.
     pub heartbeats: u64,
 }
 
-/// What happens to controllers.
+/// Events of controllers.
 impl Simulation {
-    /// Returns what a controller's clock shows.
+    /// Returns the reading of a controller's clocks.
     fn clock(&self, node: usize) -> Clock {
         let controller = &self.controllers[node];
         let stopped = self.disabled == DisabledSafeguard::RunningClocks
@@ -277,7 +281,7 @@
         }
     }
 
-    /// Delivers an answer, or the failure of a call, unless the process has been replaced or the call is over.
+    /// Delivers an answer or the failure of a call, unless the process has been replaced or the call has already ended.
     pub(super) fn answer_arrives(&mut self, node: usize, incarnation: u64, call: OutboundCallId, event: Event) {
         let controller = &mut self.controllers[node];
         if controller.incarnation == incarnation && controller.pending_calls.remove(&call) {
@@ -288,7 +292,7 @@
         }
     }
 
-    /// Sends an answer to a controller; the answer may get lost.
+    /// Sends an answer to a controller over the network, which may lose it.
     pub(super) fn send_answer(
         &mut self,
         node: usize,
@@ -302,7 +306,7 @@
         }
     }
 
-    /// Has a controller handle an event and carries out its actions.
+    /// Passes an event to a controller and carries out the resulting actions.
     pub(super) fn deliver(&mut self, node: usize, event: Event) {
         let clock = self.clock(node);
         let Some(process) = &mut self.controllers[node].process else { return };
@@ -310,7 +314,7 @@
             digest.event(self.now, node, &event);
         }
         let actions = process.handle(clock, event);
-        assert_eq!(process.invariant_violations(), 0, "controller {node} has broken an invariant, see its log");
+        assert_eq!(process.invariant_violations(), 0, "controller {node} has violated an invariant, see its log");
         for action in actions {
             if let Some(digest) = &mut self.digest {
                 digest.action(node, &action);
@@ -374,6 +378,7 @@
         self.schedule(at, ScheduledEvent::CallTimeout { node, incarnation, call, service });
     }
 
+    /// Sends a controller's reply to the requester.
     pub(super) fn send_reply(&mut self, node: usize, id: ClientRequestId, reply: Reply) {
         let Some(origin) = self.controllers[node].open_requests.remove(&id.0) else { return };
         let to = match origin {
--- a/tests/simulation/digest.rs
+++ b/tests/simulation/digest.rs
@@ -1,6 +1,6 @@
-//! A digest of everything that goes into the controllers of a simulation and comes out of them.
+//! Digest of all inputs and outputs of the controllers of a simulation.
 //!
-//! The digest covers the data in its wire form and not the program's names for it, so that it stays the same while
+//! The digest covers the wire form of the data and not the program's identifiers, so that it does not change when
 //! types, fields and functions are renamed or moved.
 
 use crowstall::coordination::{Action, Event};
@@ -10,12 +10,12 @@
 use crowstall::protocol::users::ClientRequest;
 use sha2::{Digest, Sha256};
 
-/// Accumulates events and actions in the order in which they happen.
+/// Digest of events and actions in the order in which they occur.
 #[derive(Default)]
 pub struct TraceDigest(Sha256);
 
 impl TraceDigest {
-    /// Adds an event that a controller handles.
+    /// Adds an event that is passed to a controller.
     pub fn event(&mut self, time: u64, node: usize, event: &Event) {
         self.number(time);
         self.number(node as u64);
@@ -54,7 +54,7 @@
                 self.number(id.0);
                 self.number(u64::from(reply.status));
                 self.number(u64::from(reply.retry_after.unwrap_or(0)));
-                // The text of an error may change, the state of a job may not.
+                // Successful replies contain the states of jobs, which must not change; the texts of errors may.
                 if reply.status < 400 {
                     self.text(&reply.body);
                 }
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Returns the digest of everything that was added.
+    /// Returns the first 16 bytes of the digest in hexadecimal form.
     pub fn finish(&self) -> String {
         self.0.clone().finalize().iter().take(16).map(|byte| format!("{byte:02x}")).collect()
     }
--- a/tests/simulation/events.rs
+++ b/tests/simulation/events.rs
@@ -1,11 +1,11 @@
-//! The clock and the queue of scheduled events.
+//! Scheduled events, their queue and the simulation's main loop.
 
 use super::*;
 
-/// Something that happens at a scheduled time.
+/// Event that occurs at a scheduled time.
 #[derive(Debug)]
 pub enum ScheduledEvent {
-    /// A controller process gets its periodic tick.
+    /// A controller process handles its periodic tick.
     ControllerTick { node: usize, incarnation: u64 },
     /// A request of a user or a worker arrives at a controller.
     ClientRequestArrives { node: usize, origin: RequestOrigin, request: ClientRequest },
@@ -13,13 +13,13 @@
     ReplyArrives { origin: RequestOrigin, node: usize, reply: Reply },
     /// A controller's call arrives at the state service.
     StateCallArrives { node: usize, incarnation: u64, call: OutboundCallId, request: StateCall },
-    /// The state service executes a transaction whose caller has got no answer.
+    /// The state service executes a delayed transaction, whose caller gets no answer.
     DelayedCommit { node: usize, request: StateCall },
     /// A controller's call arrives at the cloud.
     CloudCallArrives { node: usize, incarnation: u64, call: OutboundCallId, request: CloudCall },
     /// A controller's call arrives at a worker.
     WorkerCallArrives { node: usize, incarnation: u64, call: OutboundCallId, machine: u32, request: WorkerCall },
-    /// A controller's connection attempt arrives at another controller.
+    /// A controller's probe, a connection attempt, arrives at another controller.
     ProbeArrives { node: usize, incarnation: u64, call: OutboundCallId, to: usize },
     /// The answer to a controller's call arrives.
     AnswerArrives { node: usize, incarnation: u64, call: OutboundCallId, event: Event },
@@ -31,18 +31,18 @@
     ControllerStart { node: usize },
     /// All workers do their periodic work.
     WorkersStep,
-    /// A user decides what to ask next.
+    /// A user chooses and sends the next request.
     UserStep { user: usize },
-    /// A user compares what the controllers answer.
+    /// A user sends a request to a particular controller.
     ConsistencyCheck { user: usize, node: usize, request: users::UserRequest },
-    /// A submission arrives that has to be rejected.
+    /// A submission that has to be rejected is sent.
     MalformedRequest { node: usize },
     /// The state service removes expired leases.
     LeaseExpiry,
 }
 
 impl ScheduledEvent {
-    /// Returns the controller whose process handles the event, if one does.
+    /// Returns the controller whose process handles the event, or `None` if no controller does.
     fn handling_controller(&self) -> Option<usize> {
         match self {
             ScheduledEvent::ControllerTick { node, .. }
@@ -56,11 +56,11 @@
     }
 }
 
-/// Events by time; those of the same time are ordered by their sequence numbers.
+/// Scheduled events by time and sequence number.
 pub type EventQueue = BTreeMap<(u64, u64), ScheduledEvent>;
 
 impl Simulation {
-    /// Returns a number that is larger than all before it. Events and requests are numbered together.
+    /// Returns the next number of a single sequence for events and requests.
     pub fn next_sequence_number(&mut self) -> u64 {
         self.sequence_number += 1;
         self.sequence_number
@@ -72,7 +72,7 @@
         self.queue.insert((time, sequence_number), event);
     }
 
-    /// Runs until that time, or until a rule is violated.
+    /// Runs until the time `end`, or until a rule is violated.
     pub fn run_until(&mut self, end: u64) {
         if self.remote.is_some() {
             return self.run_remote_until(end);
@@ -88,12 +88,12 @@
         self.now = self.now.max(end);
     }
 
-    /// Runs for that long.
+    /// Runs for `duration`, or until a rule is violated.
     pub fn run_for(&mut self, duration: u64) {
         self.run_until(self.now + duration);
     }
 
-    /// Runs for a random time.
+    /// Runs for a random duration within the range.
     pub fn run_for_random(&mut self, range: Range<u64>) {
         let duration = self.rng.random_range(range);
         self.run_for(duration);
@@ -101,7 +101,7 @@
 
     #[expect(clippy::too_many_lines, reason = "one arm for each kind of event")]
     pub(super) fn dispatch(&mut self, event: ScheduledEvent) {
-        // What arrives at a frozen process waits until the process goes on.
+        // Events for a frozen process are postponed until the process resumes.
         if let Some(node) = event.handling_controller()
             && self.is_up(node)
             && self.now < self.controllers[node].frozen_until
@@ -131,7 +131,7 @@
                 }
             }
             ScheduledEvent::ProbeArrives { node, incarnation, call, to } => {
-                // The machine of a crashed process refuses the connection.
+                // The machine of a crashed controller refuses the connection.
                 let event = Event::Probe { call, alive: self.is_up(to) };
                 self.send_answer(node, incarnation, call, Endpoint::Controller(to), event);
             }
--- a/tests/simulation/faults.rs
+++ b/tests/simulation/faults.rs
@@ -1,11 +1,11 @@
-//! Faults that tests inject, and how a test with faults proceeds.
+//! Injection of random faults, and the phases of a run with and without faults.
 
 use super::*;
 
-/// The parameters of a random fault, which are drawn before its kind.
+/// Parameters of a random fault. They are drawn before the kind of fault.
 struct FaultParameters {
     node: usize,
-    /// A machine, if there are any.
+    /// Random machine; `None` if there are no machines.
     machine: Option<u32>,
     duration: u64,
     until: u64,
@@ -13,7 +13,8 @@
 }
 
 impl Simulation {
-    /// Runs with `count` random faults within `span` or so; `before_fault` is called before each of them.
+    /// Runs and injects `count` random faults, which take about `span` in all. `before_fault` is called before each
+    /// fault with its number.
     pub fn run_with_random_faults(
         &mut self,
         count: u32,
@@ -27,15 +28,16 @@
         }
     }
 
-    /// Runs for `duration` without further faults. From `recovery` on every user must get answers and every task must
-    /// be placed.
+    /// Runs for `duration` without injecting faults. Once `recovery` has passed, the checker requires that every user
+    /// gets answers and every task is placed.
     pub fn run_without_faults(&mut self, recovery: u64, duration: u64) {
         self.cloud.boot_time_factors = None;
         self.faults_over_from = Some(self.now + recovery);
         self.run_for(duration);
     }
 
-    /// Ends the faults that have a duration.
+    /// Ends slow links and the temporary faults of [`Simulation::inject_random_fault`]. Frozen controllers resume at
+    /// their own time.
     pub fn end_faults(&mut self) {
         let now = self.now;
         self.partitions.clear();
@@ -56,7 +58,7 @@
         }
     }
 
-    /// Injects one fault of any kind.
+    /// Injects one fault of a random kind.
     pub fn inject_random_fault(&mut self) {
         let parameters = self.draw_fault_parameters();
         let FaultParameters { node, machine, duration, until, delay_packets } = parameters;
@@ -76,7 +78,7 @@
             12 => self.isolate_with_machines(node, now + 2 * duration, delay_packets),
             13 => self.cloud.no_capacity_until = until,
             14 => self.change_boot_times(),
-            // Only the state service is left to the controller.
+            // The controller reaches only the state service, the cloud and the users.
             15 => {
                 let all = (0..CONTROLLERS).map(Endpoint::Controller).chain([Endpoint::AllMachines]);
                 self.partition(controller, all, until, delay_packets);
@@ -84,7 +86,7 @@
             16 if self.is_up(node) => self.freeze(node, duration / 3),
             17 | 18 => self.lose_answers_to_machine_or_zone(machine),
             19 | 20 => self.duplicate_heartbeats_until(until),
-            // Only workers and users are left to the controller.
+            // The controller reaches only the workers, the cloud and the users.
             21 => {
                 let others = other_controllers(node).chain([Endpoint::StateService]);
                 self.partition(controller, others, now + 2 * duration, delay_packets);
@@ -113,25 +115,25 @@
         FaultParameters { node, machine, duration, until: self.now + duration, delay_packets }
     }
 
-    /// Delivers some heartbeats a second time.
+    /// Starts to deliver some heartbeats a second time.
     fn duplicate_heartbeats_until(&mut self, until: u64) {
         let max_delay = self.rng.random_range(2 * SEC..3 * WORKER_LEASE);
         self.duplicate_heartbeats = Some(TemporaryFault::new(until, max_delay));
     }
 
-    /// Has the state service execute some transactions late and without an answer.
+    /// Makes the state service execute some transactions late and without an answer.
     fn delay_commits_until(&mut self, until: u64) {
         let probability = self.rng.random_range(0.1..0.5);
         self.state_service.delayed_commits = Some(TemporaryFault::new(until, probability));
     }
 
-    /// Has the state service answer late.
+    /// Makes the state service answer late.
     fn slow_down_answers_until(&mut self, until: u64) {
         let max_delay = self.rng.random_range(200 * MS..2 * SEC);
         self.state_service.slow_answers = Some(TemporaryFault::new(until, max_delay));
     }
 
-    /// Has the cloud take back some spot machines, with and without notice.
+    /// Makes the cloud reclaim some spot machines, with or without notice.
     fn reclaim_spot_machines(&mut self) {
         let notice_at = self.now + 8 * SEC;
         for number in self.machines_where(|worker| worker.spot) {
@@ -147,7 +149,8 @@
         }
     }
 
-    /// Separates a controller and half of the machines from everything else.
+    /// Separates a controller and half of the machines from the other controllers, and the controller also from the
+    /// state service, the cloud and the users.
     fn isolate_with_machines(&mut self, node: usize, until: u64, delay_packets: bool) {
         let outside = other_controllers(node).chain([Endpoint::StateService, Endpoint::Cloud, Endpoint::Users]);
         self.partition(Endpoint::Controller(node), outside, until, delay_packets);
@@ -156,14 +159,14 @@
         }
     }
 
-    /// Has machines boot late, at once or never, in each zone differently.
+    /// Draws a factor on the boot times of each zone: machines boot fast, normally, late or never.
     fn change_boot_times(&mut self) {
         let factors = [Some(0.05), Some(3.0), Some(8.0), None, Some(1.0)];
         let mut any = || factors[self.rng.random_range(0..factors.len())];
         self.cloud.boot_time_factors = Some([any(), any()]);
     }
 
-    /// Loses all answers and commands to a machine, or to all machines of its zone.
+    /// Drops all answers and commands to a machine, or to all machines of its zone.
     fn lose_answers_to_machine_or_zone(&mut self, machine: Option<u32>) {
         let whole_zone = self.rng.random_bool(0.3);
         let zone = machine.and_then(|machine| self.workers.get(&machine)).map(|worker| worker.zone.clone());
@@ -185,6 +188,7 @@
         }
     }
 
+    /// Restarts the agents of the machines whose number has the given remainder modulo 3.
     fn restart_a_third_of_the_machines(&mut self, remainder: usize) {
         for machine in self.machines_where(|worker| worker.number as usize % 3 == remainder) {
             let down_for = self.rng.random_range(50 * MS..900 * MS);
@@ -192,7 +196,7 @@
         }
     }
 
-    /// Has the state service refuse one controller, and all of them some seconds later.
+    /// Makes the state service refuse one controller, and all of them some seconds later.
     fn refuse_one_controller_and_then_all(&mut self, node: usize, outage: u64) {
         let alone_for = self.rng.random_range(300 * MS..5 * SEC);
         self.state_service.refused_until[node] = self.now + alone_for + SEC;
@@ -200,8 +204,7 @@
         self.state_service.start_outage(self.now, outage);
     }
 
-    /// Separates a controller and every other machine from the given endpoints, and these machines from the other
-    /// controllers.
+    /// Separates a controller from the given endpoints, and the machines with even numbers from the other controllers.
     pub fn isolate_with_every_other_machine(
         &mut self,
         node: usize,
--- a/tests/simulation/heartbeat_copies.rs
+++ b/tests/simulation/heartbeat_copies.rs
@@ -1,19 +1,19 @@
-//! Copies of heartbeats that arrive late, as a network that delivers packets twice would have it.
+//! Copies of heartbeats that arrive late, as from a network that delivers packets twice.
 
 use super::*;
 
-/// Probability that a copy is made of a heartbeat.
+/// Probability that a heartbeat is copied.
 const COPY_PROBABILITY: f64 = 0.3;
 
-/// How many copies are retained for the next leader at most.
+/// Maximum number of copies that are retained for the next leader.
 const MAX_RETAINED: usize = 300;
 
-/// How long after a change of leadership the retained copies arrive, at most: before the new leader knows of its term,
-/// while it reads its records, and as it begins to decide.
+/// Upper bounds of the delays with which retained copies arrive after a change of leadership: before the new leader
+/// knows of its term, while the leader reads its records, and when the leader starts to make decisions.
 const REPLAY_DELAYS: [u64; 4] = [5 * MS, 60 * MS, 400 * MS, 3 * SEC];
 
 impl Simulation {
-    /// Schedules a second delivery of a heartbeat at any controller.
+    /// Schedules a second delivery of some heartbeats, at a random controller.
     pub(super) fn duplicate_heartbeat(&mut self, origin: &RequestOrigin, request: &ClientRequest) {
         let fault = self.duplicate_heartbeats;
         let Some(max_delay) = fault.and_then(|fault| fault.active(self.now)) else { return };
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Keeps a copy of a heartbeat for the next leader.
+    /// Retains copies of some heartbeats for the next leader.
     pub(super) fn retain_heartbeat(&mut self, origin: &RequestOrigin, request: &ClientRequest) {
         if self.now < self.heartbeats_retained_until
             && self.retained_heartbeats.len() < MAX_RETAINED
--- a/tests/simulation/malformed_requests.rs
+++ b/tests/simulation/malformed_requests.rs
@@ -1,20 +1,21 @@
-//! Submissions that have to be rejected: a field is missing or has the wrong type, no machine fits, or the team's quota
-//! does not suffice.
+//! Submissions that have to be rejected: a required field is missing or has the wrong type, no machine fits the tasks,
+//! or the team's quota is too small.
 
 use super::*;
 use crowstall::protocol::users;
 use serde_json::{Value, json};
 
-/// Why a submission has to be rejected.
+/// Reason for which a submission has to be rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rejection {
-    /// The submission does not have the form of one (400).
+    /// Malformed submission, rejected with the status 400.
     Malformed,
-    /// The submission has the right form and can never be executed (422).
+    /// Well-formed submission that can never be executed, rejected with the status 422.
     Unsatisfiable,
 }
 
 impl Rejection {
+    /// Returns the status of the expected reply.
     fn status(self) -> u16 {
         match self {
             Rejection::Malformed => 400,
@@ -23,7 +24,7 @@
     }
 }
 
-/// The fields that a submission must have.
+/// Required fields of a submission.
 const REQUIRED: [&str; 17] = [
     "brood",
     "flock",
@@ -52,7 +53,8 @@
         "dusk_s": null})
 }
 
-/// Returns the `number`-th submission that has to be rejected, and why.
+/// Returns the `number`-th invalid submission and the reason for its rejection. The sequence goes through all required
+/// fields once for each defect of a field, and then through unsatisfiable submissions.
 fn invalid_submission(id: &JobId, number: u32) -> (Value, Rejection) {
     let mut body = submission(id);
     let field = REQUIRED[number as usize % REQUIRED.len()];
@@ -69,7 +71,7 @@
     (body, Rejection::Malformed)
 }
 
-/// Changes a submission so that no machine or no quota suffices for it.
+/// Changes a valid submission so that no machine fits its tasks or the team's quota is too small.
 fn make_unsatisfiable(fields: &mut serde_json::Map<String, Value>, number: u32) {
     let changes = [
         ("flock", json!("nobody")),
@@ -83,14 +85,14 @@
     let (field, value) = changes[number as usize % 8 % 7].clone();
     fields[field] = value;
     if number % 8 == 7 {
-        // All replicas together are more than the team's quota.
+        // The replicas of a service need its whole size at once, here 18 CPUs with a quota of 16.
         let service = json!({"flock": "limited", "gait": "daemon", "clutch": 9, "cores": 2.0});
         fields.extend(service.as_object().cloned().unwrap_or_default());
     }
 }
 
 impl Simulation {
-    /// Sends such submissions from now on, each to a random controller.
+    /// Schedules invalid submissions at an interval from now until `until`, each to a random controller.
     pub fn schedule_malformed_requests(&mut self, until: u64, interval: u64) {
         let mut at = self.now;
         while at < until {
@@ -101,7 +103,7 @@
     }
 
     pub(super) fn send_malformed_request(&mut self, node: usize) {
-        // Numbered like any request, though the number is not used.
+        // Takes a number as every request does. The number itself is not used.
         self.next_sequence_number();
         let job = JobId::new(&format!("wk-8{:05}", self.malformed_requests_sent));
         let (mut body, expected) = invalid_submission(&job, self.malformed_requests_sent);
@@ -118,7 +120,7 @@
         }
     }
 
-    /// Checks the answer to such a submission.
+    /// Checks the reply to an invalid submission, and that the job was not recorded.
     pub(super) fn malformed_request_answered(&mut self, job: &JobId, expected: Rejection, reply: &Reply) {
         self.observations.malformed_requests.answered += 1;
         match reply.status {
--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -1,11 +1,11 @@
-//! A deterministic simulation of a cluster around real controllers.
+//! Deterministic simulation of a cluster.
 //!
-//! The controllers are the program's own. State service, cloud, workers, users and the network are simulated in
-//! simulated time, and every random choice is drawn from one generator, so that a seed determines everything that
-//! happens. Tests inject faults; the [checker] looks for violations of the safety rules after each step.
+//! The controllers are instances of the production [`Controller`]. The state service, the cloud, the workers, the users
+//! and the network are simulated, and time is simulated too. All random choices are drawn from one generator, so that a
+//! seed determines the whole run. Tests inject faults, and the [checker] verifies the safety rules during the run.
 //!
-//! Times are microseconds of simulated time.
-// Each test target uses a part of the simulation only.
+//! All times and durations are in microseconds of simulated time.
+// Each test target uses only a part of the simulation.
 #![allow(dead_code, unused_imports)]
 
 pub mod assertions;
@@ -53,114 +53,122 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::ops::Range;
 
-/// A millisecond.
+/// One millisecond, in microseconds.
 pub const MS: u64 = 1000;
 
-/// A second.
+/// One second, in microseconds.
 pub const SEC: u64 = 1_000_000;
 
-/// How long a task may still be running after its user was told that the job is cancelled.
+/// Longest permitted time from the reply that reports a job as cancelled to the end of its last task.
 pub const CANCELLATION_BOUND: u64 = 30 * SEC;
 
-/// How long the lease of a worker lasts.
+/// Duration of a worker lease.
 pub const WORKER_LEASE: u64 = 10 * SEC;
 
-/// The run time of a service, which ends only when it is cancelled.
+/// Run time of a service, which ends only when it is cancelled.
 pub const FOREVER: u64 = u64::MAX / 4;
 
-/// The time between two steps of all workers.
+/// Interval between two steps of all workers.
 const WORKERS_STEP: u64 = 50 * MS;
 
-/// The time between two removals of expired leases.
+/// Interval at which the state service removes expired leases.
 const LEASE_EXPIRY_STEP: u64 = 50 * MS;
 
 /// A simulated cluster.
 pub struct Simulation {
-    /// The current time.
+    /// Current time.
     pub now: u64,
-    /// The source of all random choices.
+    /// Generator of all random choices.
     pub rng: SmallRng,
     seed: u64,
-    /// The safeguard that is missing.
+    /// Safeguard that is disabled to test the checker.
     pub disabled: DisabledSafeguard,
+    /// Settings of the controllers, by controller index.
     pub settings: Vec<Settings>,
     controllers: Vec<controllers::SimulatedController>,
-    /// The controllers, if they are real processes.
+    /// Connection to the controllers if they run as separate processes.
     remote: Option<Box<dyn remote::RemoteControllers>>,
     queue: events::EventQueue,
+    /// Last number given to an event or a request.
     sequence_number: u64,
     pub state_service: state_service::StateService,
     pub cloud: cloud::Cloud,
-    /// The worker machines, by number.
+    /// Worker machines, by number.
     pub workers: BTreeMap<u32, workers::Worker>,
-    /// The quotas of the teams that have one.
+    /// Quotas of the teams that have one.
     pub quotas: BTreeMap<Name, Quota>,
-    /// The users, one for each job.
+    /// Users, one for each job.
     pub users: Vec<users::User>,
 
-    /// Current and former network partitions.
+    /// Network partitions, including those that have healed.
     pub partitions: Vec<NetworkPartition>,
-    /// Packets from and to some endpoints take longer.
+    /// Endpoints whose packets are delayed in both directions.
     pub slow_links: Vec<SlowLink>,
-    /// Some heartbeats are delivered a second time, later.
+    /// Fault that delivers some heartbeats a second time, with a delay.
     pub duplicate_heartbeats: Option<TemporaryFault<MaxDelay>>,
-    /// Until when copies of heartbeats are retained, to be delivered around the next change of leadership.
+    /// End of the period in which copies of heartbeats are retained for delivery around the next change of leadership.
     pub heartbeats_retained_until: u64,
     retained_heartbeats: Vec<(RequestOrigin, ClientRequest)>,
-    /// Until when users send eight times as many requests.
+    /// End of the period in which users send eight times as many requests.
     pub request_storm_until: u64,
-    /// Until when users compare the answers of all controllers after each change of their job's state.
+    /// End of the period in which users send requests to all controllers after each change of their job's state, to
+    /// check that no controller reports an older state.
     pub consistency_checks_until: u64,
-    /// Users send requests as their job completes.
+    /// Fault that makes users send requests at the moment at which their job completes.
     pub requests_at_completion: Option<TemporaryFault<Probability>>,
     malformed_requests_sent: u32,
-    /// From when on there are no faults, so that every user must get answers and every task must be placed.
+    /// Time from which the checker requires that every user gets answers and every task is placed. `None`: the faults
+    /// are not over yet.
     pub faults_over_from: Option<u64>,
 
-    /// The rules that were violated, first one first. The simulation stops at a violation.
+    /// Violations of safety rules, in the order of their detection. The simulation stops at the first one.
     pub violations: Vec<Violation>,
-    /// Log lines, if `SIMULATION_TRACE` is set.
+    /// Log lines of the simulation, recorded if the environment variable `SIMULATION_TRACE` is set.
     pub trace: Vec<String>,
-    /// The digest of all events and actions, for tests that compare whole runs.
+    /// Digest of all events and actions, for tests that compare whole runs.
     pub digest: Option<digest::TraceDigest>,
-    /// The tasks that were completed.
+    /// Completed tasks.
     pub completed: BTreeSet<TaskId>,
-    /// What was observed so far.
+    /// Measurements of the run so far.
     pub observations: Observations,
-    /// How many tasks were started.
+    /// Number of task starts.
     pub starts: u64,
-    /// How many heartbeats have arrived at a running controller.
+    /// Number of heartbeats that arrived at a running controller.
     heartbeats: u64,
-    /// Since when a task of a job has been waiting although a machine has room for it, by user.
+    /// Time since which a task of a job has been waiting although a machine has room for it, by user.
     starved_since: HashMap<usize, u64>,
 
-    /// A request whose reply a test waits for.
+    /// Request whose reply a test waits for.
     awaited_request: Option<ClientRequestId>,
+    /// Reply to the awaited request, once it has arrived.
     awaited_reply: Option<Reply>,
 }
 
 /// Measurements that tests assert on or print.
 #[derive(Clone, Debug, Default)]
 pub struct Observations {
-    /// How often a machine was recorded that did not exist any more.
+    /// Number of machine records written after the machine had been deleted or reclaimed.
     pub vanished_machines_recorded: usize,
-    /// Start commands in answers to heartbeats that were lost.
+    /// Number of start commands in lost replies to heartbeats.
     pub lost_starts: u64,
-    /// The longest time without an answer of a user with a live job, after the faults were over.
+    /// Longest time for which the user of a live job got no answer after the faults were over.
     pub longest_unanswered: u64,
-    /// The longest time that a task had to wait although a machine had room for it, after the faults were over.
+    /// Longest time for which a task waited after the faults were over although a machine had room for it.
     pub longest_starvation: u64,
-    /// The times from a user's first request to cancel a job until the user was told that the job is cancelled.
+    /// Times from a user's first cancel request to the first reply that reported the job as cancelled.
     pub cancellation_latencies: Vec<u64>,
-    /// The longest time that a task was still running after its user was told that the job is cancelled.
+    /// Longest time for which a task ran on after its job was reported as cancelled.
     pub longest_run_after_cancellation: u64,
+    /// Task starts of jobs that had been reported as cancelled.
     pub starts_after_cancellation: StartsAfterCancellation,
+    /// Requests that check the answers of all controllers for consistency.
     pub consistency_checks: ConsistencyChecks,
+    /// Submissions that have to be rejected.
     pub malformed_requests: MalformedRequests,
 }
 
 impl Observations {
-    /// Adds what was observed in another simulation.
+    /// Merges the measurements of another simulation into these.
     pub fn add(&mut self, other: Observations) {
         self.vanished_machines_recorded += other.vanished_machines_recorded;
         self.lost_starts += other.lost_starts;
@@ -178,24 +186,24 @@
     }
 }
 
-/// Starts of tasks after a user was told that the job is cancelled.
+/// Numbers of task starts after the user was told that the job is cancelled.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StartsAfterCancellation {
-    /// Starts that the machine had been commanded before the user was told.
+    /// Starts whose command the machine executed before the user was told.
     pub commanded_before: u64,
-    /// Starts that the machine was commanded after the user had been told.
+    /// Starts whose command the machine executed after the user had been told.
     pub commanded_after: u64,
 }
 
-/// Requests with which users compared the answers of all controllers.
+/// Numbers of requests that check whether all controllers report a job's newest state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ConsistencyChecks {
     pub sent: u64,
-    /// Requests that were answered with 503 while the state service was available.
+    /// Requests answered with 503 although the state service was available.
     pub deferred: u64,
 }
 
-/// Submissions that have to be rejected.
+/// Numbers of submissions that have to be rejected.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MalformedRequests {
     pub answered: u64,
@@ -203,22 +211,22 @@
 }
 
 impl Simulation {
-    /// Whether a task has been completed.
+    /// Returns `true` if a task has been completed.
     pub fn is_completed(&self, job: &JobId, task: u32) -> bool {
         self.completed.contains(&TaskId { job: job.clone(), task: TaskIndex(task) })
     }
 
-    /// Whether all tasks of a job have been completed.
+    /// Returns `true` if all tasks of a job have been completed.
     pub fn all_tasks_completed(&self, job: &JobSpec) -> bool {
         (0..job.tasks).all(|task| self.is_completed(&job.id, task))
     }
 
-    /// Returns how many tasks of a job have been completed.
+    /// Returns the number of completed tasks of a job.
     pub fn completed_tasks_of(&self, job: &JobId) -> usize {
         self.completed.iter().filter(|task| task.job == *job).count()
     }
 
-    /// Adds a log line if `SIMULATION_TRACE` is set.
+    /// Records a log line if the environment variable `SIMULATION_TRACE` is set.
     fn trace_line(&mut self, text: impl Fn() -> String) {
         if std::env::var_os("SIMULATION_TRACE").is_some() {
             self.trace.push(format!("{:.3} {}", self.now as f64 / SEC as f64, text()));
--- a/tests/simulation/network.rs
+++ b/tests/simulation/network.rs
@@ -1,26 +1,26 @@
-//! The simulated network: endpoints, partitions, slow links and the time that a packet takes.
+//! Simulated network: endpoints, partitions, slow links and packet delays.
 
 use super::*;
 
-/// Packets of a partition are lost (`delay_packets`).
+/// Value of [`NetworkPartition::delay_packets`] with which packets are lost.
 pub const LOSE_PACKETS: bool = false;
 
-/// Packets of a partition are delivered once the partition has healed (`delay_packets`).
+/// Value of [`NetworkPartition::delay_packets`] with which packets are delivered after the partition has healed.
 pub const DELAY_PACKETS: bool = true;
 
-/// Probability that a packet is delayed by some 100 ms, as after a retransmission.
+/// Probability that a packet is delayed by 100 to 600 ms, as by a retransmission.
 const RETRANSMISSION_PROBABILITY: f64 = 0.003;
 
-/// One side of a connection.
+/// Endpoint of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Endpoint {
-    /// A controller, by its index.
+    /// Controller, by index.
     Controller(usize),
-    /// The state service.
+    /// State service.
     StateService,
-    /// The cloud's interface.
+    /// API of the cloud.
     Cloud,
-    /// A worker machine, by its number.
+    /// Worker machine, by number.
     Machine(u32),
     /// All worker machines, including those that are rented later.
     AllMachines,
@@ -29,26 +29,26 @@
 }
 
 impl Endpoint {
-    /// Whether `endpoint` is this endpoint or one of those that this one stands for.
+    /// Returns `true` if `endpoint` is `self`, or a machine while `self` stands for all machines.
     fn includes(self, endpoint: Endpoint) -> bool {
         self == endpoint || self == Endpoint::AllMachines && matches!(endpoint, Endpoint::Machine(_))
     }
 }
 
-/// A temporary loss of connection between two endpoints, in both directions.
+/// Temporary loss of connectivity between two endpoints, in both directions.
 #[derive(Clone, Copy, Debug)]
 pub struct NetworkPartition {
     pub one_end: Endpoint,
-    /// The other side; `None` stands for all endpoints.
+    /// Other side of the partition. `None`: all endpoints.
     pub other_end: Option<Endpoint>,
-    /// When the partition heals.
+    /// Time at which the partition heals.
     pub until: u64,
-    /// Whether packets are delivered after the partition has healed instead of being lost.
+    /// `true` if packets are delivered after the partition has healed, `false` if they are lost.
     pub delay_packets: bool,
 }
 
 impl NetworkPartition {
-    /// Whether the partition separates two endpoints.
+    /// Returns `true` if the partition separates two endpoints.
     pub(super) fn separates(&self, from: Endpoint, to: Endpoint) -> bool {
         let directed = |from: Endpoint, to: Endpoint| {
             self.one_end.includes(from) && self.other_end.is_none_or(|other_end| other_end.includes(to))
@@ -57,11 +57,11 @@
     }
 }
 
-/// A fault by which packets from and to an endpoint take longer.
+/// Fault that delays packets from and to an endpoint.
 pub struct SlowLink {
-    /// The endpoint.
+    /// Endpoint whose packets are delayed.
     pub endpoint: Endpoint,
-    /// How long it lasts, and how much longer packets take at most.
+    /// Duration of the fault and maximum delay of a packet.
     pub delay: TemporaryFault<MaxDelay>,
 }
 
@@ -71,7 +71,7 @@
 }
 
 impl Simulation {
-    /// Returns when a packet that is sent now arrives, or `None` if it is lost.
+    /// Returns the time at which a packet that is sent now arrives, or `None` if it is lost.
     pub fn packet_arrival(&mut self, from: Endpoint, to: Endpoint) -> Option<u64> {
         let mut arrival = self.now + self.rng.random_range(300..2500);
         if self.rng.random_bool(RETRANSMISSION_PROBABILITY) {
@@ -109,7 +109,7 @@
         }));
     }
 
-    /// Separates an endpoint from everything.
+    /// Separates an endpoint from all others.
     pub fn isolate(&mut self, endpoint: Endpoint, until: u64, delay_packets: bool) {
         self.partitions.push(NetworkPartition { one_end: endpoint, other_end: None, until, delay_packets });
     }
@@ -119,7 +119,7 @@
         self.partition(endpoint, other_controllers(node), until, delay_packets);
     }
 
-    /// Separates all controllers from one another.
+    /// Separates all controllers from each other.
     pub fn partition_controllers(&mut self, until: u64, delay_packets: bool) {
         for (one, other) in [(0, 1), (0, 2), (1, 2)] {
             self.partition(Endpoint::Controller(one), [Endpoint::Controller(other)], until, delay_packets);
--- a/tests/simulation/remote.rs
+++ b/tests/simulation/remote.rs
@@ -1,45 +1,47 @@
-//! Controllers that are real processes instead of objects of the simulation.
+//! Controllers that run as separate processes instead of within the simulation.
 //!
-//! State service, cloud, workers, users, faults and checker are those of the simulation. With remote controllers the
-//! simulation runs in real time, and what it exchanges with the controllers passes through [`RemoteControllers`].
+//! The state service, the cloud, the workers, the users, the faults and the checker are those of the simulation. With
+//! remote controllers the simulation runs in real time, and exchanges all requests and answers with the controllers
+//! through [`RemoteControllers`].
 
 use super::*;
 use std::time::Duration;
 
-/// How long the simulation sleeps when nothing is due.
+/// Longest sleep of the simulation while no event is due.
 const MAX_IDLE: u64 = 2 * MS;
 
-/// A message of a controller process.
+/// Message from a controller process.
 pub enum RemoteMessage {
-    /// A call to the state service.
+    /// Call to the state service.
     State { node: usize, call: OutboundCallId, request: StateCall },
-    /// A call to the cloud.
+    /// Call to the cloud.
     Cloud { node: usize, call: OutboundCallId, request: CloudCall },
-    /// A command to a worker machine.
+    /// Call to a worker machine.
     Worker { call: OutboundCallId, machine: u32, request: WorkerCall },
-    /// The reply to the client request with that number.
+    /// Reply to the client request with the given number.
     Reply { node: usize, request: u64, reply: Reply },
 }
 
-/// Controller processes, and the connections to them.
+/// Controller processes with the connections to them.
 pub trait RemoteControllers {
-    /// Microseconds of simulated time that have passed since the start.
+    /// Returns the current time of the simulation in microseconds.
     fn now(&self) -> u64;
-    /// Returns what has arrived from the processes.
+    /// Returns the messages that have arrived from the processes.
     fn receive(&mut self) -> Vec<RemoteMessage>;
     /// Sends a request of a user or a worker.
     fn send_request(&mut self, node: usize, number: u64, request: &ClientRequest);
-    /// Answers a call of a process. An answer that is an error of the network is not sent.
+    /// Answers a call of a process. If the event is a network error, no answer is sent.
     fn send_answer(&mut self, event: Event);
-    /// Whether a process is running.
+    /// Returns `true` if a process is running.
     fn is_up(&self, node: usize) -> bool;
     /// Starts a process.
     fn start(&mut self, node: usize);
     /// Kills a process.
     fn kill(&mut self, node: usize);
-    /// Stops a process for that long.
+    /// Suspends a process for a while.
     fn freeze(&mut self, node: usize, duration: u64);
-    /// Says which controllers cannot reach each other: packets from the first to the second are held back.
+    /// Sets the blocked links between controllers: packets from the first controller of a pair to the second are held
+    /// back. All other links are open.
     fn set_blocked_links(&mut self, blocked: &[(usize, usize)]);
 }
 
@@ -51,7 +53,7 @@
         simulation
     }
 
-    /// Runs in real time until that time, or until a rule is violated.
+    /// Runs in real time until the time `end`, or until a rule is violated.
     pub(super) fn run_remote_until(&mut self, end: u64) {
         while self.now < end && self.violations.is_empty() {
             self.receive_from_remote();
@@ -95,7 +97,8 @@
                     });
                 }
                 RemoteMessage::Worker { call, machine, request } => {
-                    // The connection does not tell which controller calls: the leader does.
+                    // The connection does not identify the calling controller. It is the leader's call, because only
+                    // the leader sends commands.
                     let node = self.leader(0).unwrap_or(0);
                     self.schedule_remote_call(node, call, Endpoint::Machine(machine), |incarnation| {
                         ScheduledEvent::WorkerCallArrives { node, incarnation, call, machine, request }
@@ -113,6 +116,7 @@
         }
     }
 
+    /// Registers a call of a controller process and schedules its arrival, unless the simulated network loses it.
     fn schedule_remote_call(
         &mut self,
         node: usize,
@@ -127,6 +131,7 @@
         }
     }
 
+    /// Applies the current network partitions to the links between the controller processes.
     fn update_blocked_links(&mut self) {
         let now = self.now;
         let pairs = (0..CONTROLLERS).flat_map(|from| (0..CONTROLLERS).map(move |to| (from, to)));
--- a/tests/simulation/safeguards.rs
+++ b/tests/simulation/safeguards.rs
@@ -1,43 +1,43 @@
-//! Safeguards that a test can disable to show that the checker notices their absence.
+//! Safeguards that a test can disable, to show that the checker detects the resulting violations.
 
-/// The safeguard that a simulation lacks, if any.
+/// Safeguard that is disabled in a simulation, if any. Each variant describes the resulting fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DisabledSafeguard {
-    /// Every safeguard is in place.
+    /// All safeguards are enabled.
     None,
     /// The state service applies transactions whose conditions do not hold.
     WriteConditions,
-    /// Controllers are configured with a worker lease of one second.
+    /// Controllers are configured with a worker lease of 1 s instead of 10 s.
     WorkerLeaseDuration,
-    /// Controllers are configured with 120 s from a cancellation to the end of its tasks.
+    /// Controllers are configured with a bound of 120 s instead of 30 s from a cancellation to the end of the tasks.
     CancellationBound,
-    /// Controllers are not told the limited team's CPU quota.
+    /// The controllers' settings contain a CPU quota of zero, which means none, for the limited team.
     CpuQuotas,
-    /// Controllers are told the CPU quota of the limited team only.
+    /// The controllers' settings lack the CPU quotas of all teams except the limited one.
     OtherTeamsCpuQuotas,
-    /// Controllers are told the CPU quotas and no GPU quota.
+    /// The controllers' settings lack the GPU quotas of the teams.
     GpuQuotas,
-    /// Workers leave every third attempt out of their heartbeats.
+    /// Workers omit attempts whose number is divisible by three from their heartbeats.
     CompleteHeartbeats,
     /// Workers do not kill their tasks when their lease has expired.
     WorkerLeaseExpiry,
     /// Workers ignore stop commands.
     StopCommands,
-    /// Controllers' clocks stop at times, so that no lease expires.
+    /// The steady clocks of controllers stop at times, so that their leases seem not to expire.
     RunningClocks,
-    /// Workers report the other zone.
+    /// Workers report the wrong zone.
     ReportedZones,
-    /// Leaders' records contain leadership bounds of zero, so that no successor waits.
+    /// The records of leaders contain leadership bounds of zero, so that successors do not wait for former leaders.
     LeadershipBounds,
-    /// Controllers are not told the prerequisites of jobs.
+    /// Jobs are submitted without their prerequisites.
     Prerequisites,
-    /// Final records of cancelled jobs are lost, so that dependent jobs are not cancelled.
+    /// The state service drops the final records of cancelled jobs, so that dependent jobs are not cancelled.
     CancellationRecords,
-    /// Records of live jobs can be read for a second after they were deleted.
+    /// Deleted entries of the state service can still be read for one second.
     ConsistentReads,
-    /// Workers ignore the start commands of some jobs.
+    /// Workers ignore the start commands of jobs whose identifier ends with the digit 3.
     StartCommands,
-    /// The lease of a hung machine does not expire.
+    /// The worker lease of a hung machine does not expire.
     LeaseExpiryOfHungMachines,
     /// Invalid submissions are replaced by valid ones.
     RequestValidation,
--- a/tests/simulation/settings.rs
+++ b/tests/simulation/settings.rs
@@ -1,10 +1,10 @@
-//! Settings of the simulated controllers: the platform's file and the operators' properties.
+//! Settings of the simulated controllers: the platform's settings file and the operators' properties.
 
 use super::CONTROLLERS;
 use super::safeguards::DisabledSafeguard;
 use crowstall::config::Settings;
 
-/// The platform's file, with placeholders for what differs from controller to controller.
+/// Settings file of the platform, with the placeholders `LABEL`, `FRONT` and `PEERS`.
 const PLATFORM_FILE: &str = r#"
 label = "LABEL"
 area = "east"
@@ -57,7 +57,7 @@
 max_sockets = 700
 "#;
 
-/// Returns the platform's file for the controller with that label, which listens at `front`.
+/// Returns the platform's settings file for a controller that listens for clients at the address `front`.
 pub fn platform_file(label: &str, front: &str) -> String {
     let others = (0..CONTROLLERS).map(|node| (node, controller_label(node))).filter(|(_, other)| other != label);
     let peers = others.map(|(node, other)| {
@@ -71,7 +71,7 @@
     format!("perch-{node}")
 }
 
-/// Returns the settings of a controller; `properties` are added to the operators' properties.
+/// Returns the settings of a controller, with `properties` in addition to those of the deployment.
 pub fn controller_settings(node: usize, disabled: DisabledSafeguard, one_shard: bool, properties: &str) -> Settings {
     let text = platform_file(&controller_label(node), &format!("10.0.0.{}:8080", node + 1));
     let text = match disabled {
@@ -83,13 +83,13 @@
     parse_settings(&text, one_shard, properties)
 }
 
-/// Parses a platform file together with the deployment's properties and additional ones.
+/// Parses a settings file together with the properties of the deployment and additional ones.
 pub fn parse_settings(text: &str, one_shard: bool, properties: &str) -> Settings {
     let shards = if one_shard { 1 } else { 3 };
     let recovery = include_str!("../../deploy/recovery.properties");
     let standby = include_str!("../../deploy/standby.properties");
-    // The node lease is set here because otherwise it follows from the worker lease, which a test may shorten.
-    // If a key occurs twice, its last value counts.
+    // The node lease is set explicitly because its default is derived from the worker lease, which a test may shorten.
+    // If a key occurs more than once, the last value applies.
     let own = format!("claim.life.ms=4000\nshards.for-teams={shards}\n{recovery}\n{standby}\n{properties}");
     Settings::parse(text, Some(&own)).expect("the test's settings are valid")
 }
--- a/tests/simulation/setup.rs
+++ b/tests/simulation/setup.rs
@@ -1,9 +1,9 @@
-//! Creating simulations.
+//! Construction of simulations.
 
 use super::*;
 use rand::SeedableRng;
 
-/// Whether all teams are in one shard, as is the default, or in one of three.
+/// Number of shards over which the teams are distributed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Sharding {
     OneShard,
@@ -57,8 +57,8 @@
         simulation
     }
 
-    /// Returns a simulation with one shard and that many machines of each type in each zone: ordinary ones, and spot
-    /// machines.
+    /// Returns a simulation with one shard. `stock` contains the maximum numbers of machines of each type in each zone:
+    /// ordinary machines, and spot machines.
     pub fn with_one_shard(seed: u64, stock: [usize; 2]) -> Simulation {
         Simulation::with_one_shard_and_properties(seed, stock, "")
     }
@@ -68,12 +68,12 @@
         Simulation::with_disabled_safeguard(seed, DisabledSafeguard::None, stock, properties)
     }
 
-    /// Returns a simulation with one shard in which one of the operators' settings is turned off.
+    /// Returns a simulation with one shard in which a property of the operators is set to `false`.
     pub fn with_one_shard_without(seed: u64, stock: [usize; 2], property: &str) -> Simulation {
         Simulation::with_one_shard_and_properties(seed, stock, &format!("{property} = false"))
     }
 
-    /// Returns a simulation with one shard that lacks a safeguard.
+    /// Returns a simulation with one shard in which a safeguard is disabled.
     pub fn with_disabled_safeguard(
         seed: u64,
         disabled: DisabledSafeguard,
@@ -86,8 +86,8 @@
         simulation
     }
 
-    /// Returns a simulation with the operators' forecast file, in which forecasts are used for planning and snapshots
-    /// are taken every few seconds.
+    /// Returns a simulation with the operators' forecast properties, changed so that forecasts are used for planning
+    /// and a snapshot is stored every 5 s.
     pub fn with_forecasts(seed: u64, one_shard: bool, stock: [usize; 2]) -> Simulation {
         let file = include_str!("../../deploy/forecast.properties");
         let properties = file.replace("forecast.plans = false", "forecast.plans = true").replace("30000", "5000");
@@ -113,7 +113,7 @@
         simulation
     }
 
-    /// Gives every team quotas, of GPUs too, and has the cloud offer machines with GPUs.
+    /// Sets CPU and GPU quotas for the free and the guest team, and makes the cloud offer machines with GPUs.
     pub fn set_quotas_of_all_teams(&mut self) {
         self.cloud.offers_gpus = true;
         for (team, cpus, gpus) in [("free", 96.0, 6.0), ("guest", 12.0, 2.0)] {
--- a/tests/simulation/state_calls.rs
+++ b/tests/simulation/state_calls.rs
@@ -1,4 +1,4 @@
-//! The controllers' calls to the state service: delays, lost answers and late transactions.
+//! Calls of controllers to the state service, with delays, lost answers and late transactions.
 
 use super::*;
 
@@ -29,9 +29,9 @@
         }
     }
 
-    /// Executes a transaction long after it was sent. The caller gets no answer.
+    /// Executes a transaction seconds after it was sent. The caller gets no answer.
     pub(super) fn execute_delayed_commit(&mut self, node: usize, request: &StateCall) {
-        // The transaction was sent before the prefix was refused.
+        // A prefix that is refused now does not apply to a transaction that was sent earlier.
         let refused_prefix = self.state_service.refused_prefix.take();
         let answer = self.state_service.handle(self.now, node, request, self.disabled);
         self.state_service.refused_prefix = refused_prefix;
@@ -50,18 +50,20 @@
         }
     }
 
+    /// Returns `true` if a fault delays the transaction; a random choice.
     fn delays_commit(&mut self) -> bool {
         let probability = self.state_service.delayed_commits.and_then(|fault| fault.active(self.now));
         probability.is_some_and(|probability| self.rng.random_bool(probability))
     }
 
+    /// Returns `true` if a fault loses the answer to the request; a random choice.
     fn loses_answer(&mut self, request: &StateCall) -> bool {
         let probability = self.state_service.lost_commit_answers.and_then(|fault| fault.active(self.now));
         let is_transaction = matches!(request, StateCall::Commit { .. });
         probability.is_some_and(|probability| is_transaction && self.rng.random_bool(probability))
     }
 
-    /// Counts records of machines that do not exist any more.
+    /// Counts the machine records of a transaction whose machines do not exist any more.
     fn count_vanished_machines(&mut self, request: &StateCall) {
         let StateCall::Commit { changes, .. } = request else { return };
         let recorded = changes.iter().filter_map(|change| match change {
--- a/tests/simulation/state_service.rs
+++ b/tests/simulation/state_service.rs
@@ -1,4 +1,4 @@
-//! The simulated state service: keys with revisions, leases, transactions and a watch.
+//! Simulated state service: keys with revisions, leases, transactions and a watch.
 
 use super::{CONTROLLERS, DisabledSafeguard, MS, MaxDelay, Probability, SEC, TemporaryFault};
 use crowstall::model::*;
@@ -8,30 +8,30 @@
 use crowstall::time::Time;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-/// How many entries a page of a list contains at most.
+/// Maximum number of entries in a page of a list.
 const PAGE_SIZE: usize = 20;
 
-/// How many changes the watch keeps.
+/// Maximum number of changes in the watch's log.
 const LOG_LENGTH: usize = 10_000;
 
-/// How many changes the watch keeps if it compacts soon.
+/// Maximum number of changes in the watch's log under [`WatchBehaviour::CompactsSoon`].
 const SHORT_LOG_LENGTH: usize = 40;
 
-/// The prefix of the keys of shards.
+/// Prefix of the shards' keys.
 const SHARD_PREFIX: &str = "shard/";
 
-/// How the watch behaves.
+/// Behaviour of the watch.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum WatchBehaviour {
     #[default]
     Normal,
-    /// The watch keeps few changes, so that most calls are answered with 410.
+    /// The log is so short that most watch calls are answered with 410.
     CompactsSoon,
-    /// The watch delivers changes seconds late.
+    /// Changes are delivered seconds late.
     Lags,
 }
 
-/// The service's limits on requests.
+/// Limits of the service on requests.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestLimits {
     pub value_bytes: usize,
@@ -40,95 +40,95 @@
 }
 
 impl Default for RequestLimits {
-    /// Returns the limits that the platform's file announces as the present ones.
+    /// Returns a write limit of 60/s, and the present size limits of the platform's settings file.
     fn default() -> RequestLimits {
         RequestLimits { value_bytes: 4096, changes_per_transaction: 8, writes_per_second: 60 }
     }
 }
 
-/// A lease that keys are bound to.
+/// Lease to which keys can be bound.
 struct Lease {
     expires_at: u64,
     duration: u64,
 }
 
-/// An entry that was removed.
+/// Deleted entry that can still be read, see [`DisabledSafeguard::ConsistentReads`].
 struct RemovedEntry {
     removed_at: u64,
     entry: Entry,
 }
 
-/// How many writes were requested in one second.
+/// Number of writes requested in one second.
 #[derive(Default)]
 struct WriteCount {
     second: u64,
     writes: usize,
 }
 
-/// The shards' keys as they were at an earlier time.
+/// Earlier state of the shards' keys, which one controller gets when it lists them.
 struct StaleListing {
-    /// The controller that is shown them.
+    /// Controller that gets the stale listing.
     shown_to: usize,
     entries: Vec<Entry>,
 }
 
-/// The state of the service, and the faults that it has.
+/// State of the service, with its injected faults and its counters.
 #[derive(Default)]
 pub struct StateService {
     keys: BTreeMap<String, Entry>,
     revision: u64,
     leases: HashMap<u64, Lease>,
     last_lease: u64,
-    /// The newest changes, oldest first.
+    /// Latest changes, oldest first.
     log: VecDeque<LogEntry>,
-    /// The revision of the newest change that is not in the log any more.
+    /// Revision of the latest change that was removed from the log.
     compacted_until: u64,
-    /// Records of live jobs that were removed lately, for `DisabledSafeguard::ConsistentReads`.
+    /// Recently deleted entries, for [`DisabledSafeguard::ConsistentReads`].
     recently_removed: HashMap<String, RemovedEntry>,
-    /// The writes of the current second.
+    /// Writes of the current second.
     writes: WriteCount,
 
     pub watch_behaviour: WatchBehaviour,
-    /// The limits on requests.
+    /// Limits on requests.
     pub request_limits: RequestLimits,
-    /// How many requests a second are executed, with bursts of one second's worth. None: any number.
+    /// Limit on the requests per second, with bursts of one second's worth. `None`: no limit.
     pub request_rate: Option<RateLimiter>,
-    /// Until when no controller gets through.
+    /// End of the outage in which all requests are refused.
     pub outage_until: u64,
-    /// Until when the requests of each controller are refused.
+    /// End of the period in which the requests of a controller are refused, by controller index.
     pub refused_until: [u64; CONTROLLERS],
-    /// A controller of whose requests only those arrive that read the record of one job.
+    /// Controller whose requests are lost, except reads of single live records.
     pub only_job_reads_from: Option<usize>,
-    /// A controller that is shown the shards' keys as they were at an earlier time.
+    /// Stale listing of the shards' keys for one controller.
     stale_shard_listing: Option<StaleListing>,
-    /// A controller whose requests are executed and not answered.
+    /// Controller whose requests are executed but not answered.
     pub unanswered_controller: Option<TemporaryFault<usize>>,
-    /// Transactions are executed 2 to 12 s late and not answered.
+    /// Fault that executes transactions 2 to 12 s late and without an answer.
     pub delayed_commits: Option<TemporaryFault<Probability>>,
-    /// Answers to transactions are lost.
+    /// Fault that loses answers to transactions.
     pub lost_commit_answers: Option<TemporaryFault<Probability>>,
-    /// Answers take longer.
+    /// Fault that delays answers.
     pub slow_answers: Option<TemporaryFault<MaxDelay>>,
-    /// The only controller whose answers take longer, if not those to all do.
+    /// Only controller whose answers are delayed. `None`: the answers to all controllers are.
     pub slow_answers_to: Option<usize>,
-    /// A prefix whose keys can neither be listed nor written.
+    /// Prefix whose keys can neither be listed nor written.
     pub refused_prefix: Option<TemporaryFault<&'static str>>,
 
-    /// How many watch calls each controller has made.
+    /// Number of watch calls, by controller index.
     pub watches: [u64; CONTROLLERS],
-    /// How many changes the watch has delivered.
+    /// Number of changes delivered by the watch.
     pub changes_delivered: u64,
-    /// How many single keys each controller has read.
+    /// Number of reads of single keys, by controller index.
     pub reads: [u64; CONTROLLERS],
-    /// How many late transactions were executed successfully.
+    /// Number of delayed transactions that were committed.
     pub delayed_commits_applied: u64,
-    /// How many requests came for keys with the refused prefix.
+    /// Number of requests that concerned keys with the refused prefix.
     pub refused_prefix_requests: u64,
-    /// How many requests were refused because of the limits on requests and on writes.
+    /// Number of requests refused because of the limits on requests and on writes per second.
     pub over_limit: u64,
-    /// Keys or conditions of the transactions that were rejected for their size.
+    /// Oversized keys, or else the conditions, of the transactions that were rejected because of their size.
     pub rejected_for_size: Vec<String>,
-    /// How many terms of leadership have begun.
+    /// Number of leadership terms that have begun.
     pub leadership_acquisitions: u64,
 }
 
@@ -142,19 +142,19 @@
         }
     }
 
-    /// Whether the service answers every controller.
+    /// Returns `true` if the service refuses no controller.
     pub fn is_available(&self, now: u64) -> bool {
         now >= self.outage_until && self.refused_until.iter().all(|until| now >= *until)
     }
 
-    /// From now on shows a controller the shards' keys as they are now.
+    /// Freezes the shards' keys as one controller sees them in listings.
     pub fn freeze_shard_listing(&mut self, node: usize) {
         let entries = self.keys.values().filter(|entry| entry.key.starts_with(SHARD_PREFIX)).cloned().collect();
         self.stale_shard_listing = Some(StaleListing { shown_to: node, entries });
     }
 }
 
-/// Access without a request.
+/// Direct access for tests and for the simulation.
 impl StateService {
     /// Writes a value.
     pub fn put(&mut self, key: &str, value: serde_json::Value) {
@@ -173,7 +173,7 @@
         entry.value["node"].as_str().map(str::to_string)
     }
 
-    /// Removes expired leases and the keys that are bound to them.
+    /// Removes expired leases and the keys that are bound to them, except during an outage.
     pub fn expire_leases(&mut self, now: u64) {
         if now < self.outage_until {
             return;
@@ -226,7 +226,7 @@
         })
     }
 
-    /// Refuses what the present faults do not let through.
+    /// Refuses requests that are affected by a fault.
     fn check_access(&mut self, now: u64, node: usize, call: &StateCall) -> Result<(), CallError> {
         if now < self.outage_until || now < self.refused_until[node] {
             return Err(CallError::Refused { over_limit: false });
@@ -250,7 +250,7 @@
         Ok(())
     }
 
-    /// Refuses requests over the limit on requests.
+    /// Refuses requests over the limit on requests per second.
     fn check_request_rate(&mut self, now: u64) -> Result<(), CallError> {
         if self.request_rate.as_mut().is_some_and(|rate| !rate.take(Time(now), 1.0)) {
             self.over_limit += 1;
@@ -259,7 +259,7 @@
         Ok(())
     }
 
-    /// Counts the writes of the current second and refuses what is over the limit.
+    /// Counts the writes of the current second and refuses those over the limit.
     fn check_write_rate(&mut self, now: u64, call: &StateCall) -> Result<(), CallError> {
         let second = now / SEC;
         if self.writes.second != second {
@@ -273,7 +273,8 @@
         Ok(())
     }
 
-    /// Rejects a transaction that is too large. Rejections are recorded, because sending the same again is a fault.
+    /// Rejects a transaction that is too large. Rejections are recorded for the tests: a controller that repeats such a
+    /// transaction is faulty, because the same size is rejected again.
     fn check_size(&mut self, conditions: &[Condition], changes: &[Change]) -> Result<(), CallError> {
         let limits = self.request_limits;
         let large_key = changes.iter().find_map(|change| match change {
@@ -314,12 +315,12 @@
         StateAnswer::Page { entries, more, revision }
     }
 
-    /// Returns the changes of keys with a prefix.
+    /// Returns the changes of keys with a prefix after a revision.
     fn changes_since(&mut self, prefix: &str, after: Revision, now: u64) -> StateAnswer {
         if after.0 < self.compacted_until {
             return StateAnswer::Compacted;
         }
-        // A watch that lags delivers one revision every ten seconds.
+        // A lagging watch delivers at most one revision per call, and only during one second out of ten.
         let until = match self.watch_behaviour {
             WatchBehaviour::Lags => after.0 + u64::from((now / SEC).is_multiple_of(10)),
             _ => self.revision,
@@ -338,7 +339,7 @@
         StateAnswer::Granted(LeaseId(self.last_lease))
     }
 
-    /// Executes a transaction if its leases have not expired and its conditions hold.
+    /// Commits a transaction if its leases have not expired and its conditions hold.
     fn commit(
         &mut self,
         now: u64,
@@ -400,6 +401,7 @@
         self.keys.insert(key.clone(), Entry { key, value, version, lease });
     }
 
+    /// Appends a change to the watch's log and removes the oldest changes beyond the maximum length.
     fn append_to_log(&mut self, change: LogEntry) {
         self.log.push_back(change);
         let max_length = match self.watch_behaviour {
@@ -411,7 +413,7 @@
         }
     }
 
-    /// Returns the revision at which a key was last set, or 0 if there is none.
+    /// Returns the revision at which a key was last set, or 0 if the key does not exist.
     fn version(&self, key: &str) -> u64 {
         self.keys.get(key).map_or(0, |entry| entry.version.0)
     }
--- a/tests/simulation/temporary_fault.rs
+++ b/tests/simulation/temporary_fault.rs
@@ -1,12 +1,13 @@
-//! A fault that ends by itself.
+//! Faults that end at a given time.
 
-/// The probability with which a fault strikes.
+/// Probability that a fault affects a message or a user.
 pub type Probability = f64;
 
-/// By how many microseconds something is delayed at most.
+/// Maximum delay in microseconds.
 pub type MaxDelay = u64;
 
-/// A fault that ends by itself, with its parameter: how likely, how strong or where it is.
+/// Fault that ends at a given time. Its parameter is a probability, a maximum delay or the affected controller or
+/// prefix.
 #[derive(Clone, Copy, Debug)]
 pub struct TemporaryFault<T> {
     until: u64,
@@ -14,7 +15,7 @@
 }
 
 impl<T: Copy> TemporaryFault<T> {
-    /// A fault that lasts until the given time.
+    /// Returns a fault that lasts until the given time.
     pub fn new(until: u64, parameter: T) -> TemporaryFault<T> {
         TemporaryFault { until, parameter }
     }
--- a/tests/simulation/user_answers.rs
+++ b/tests/simulation/user_answers.rs
@@ -1,17 +1,17 @@
-//! The rules about what users are told.
+//! Checks of the safety rules that concern the answers to users.
 
 use super::user_requests::REQUEST_TIMEOUT;
 use super::users::UserRequest;
 use super::*;
 
-/// The states of jobs in answers to users.
+/// States of jobs in answers to users.
 mod job_state {
     pub const DONE: &str = "done";
     pub const CANCELLED: &str = "withdrawn";
 }
 
 impl Simulation {
-    /// Checks an answer and has the user remember it.
+    /// Checks the reply to a user and records the reported state.
     pub(super) fn user_answered(&mut self, index: usize, request_number: u64, reply: &Reply) {
         let now = self.now;
         let user = &mut self.users[index];
@@ -34,11 +34,11 @@
         self.job_state_told(index, sent_at, body["mood"].as_str().unwrap_or_default());
     }
 
-    /// Checks the status of an answer. Returns whether the answer contains the job's state.
+    /// Checks the status of a reply. Returns `true` if the reply contains the job's state.
     fn check_status(&mut self, index: usize, sent_at: u64, status: u16) -> bool {
         let now = self.now;
         let user = &mut self.users[index];
-        // Whatever the user had been told by any controller when the request was sent, no answer may be older.
+        // No answer may be older than the state that any controller had reported when the request was sent.
         let was_accepted = user.accepted_at.is_some_and(|accepted_at| accepted_at < sent_at);
         match status {
             200 | 201 => {
@@ -57,7 +57,7 @@
         false
     }
 
-    /// Checks the state that a user was told and has the user remember it.
+    /// Checks the state reported to a user and records it.
     fn job_state_told(&mut self, index: usize, sent_at: u64, state: &str) {
         let user = &self.users[index];
         let done = user.done_at.map(|at| (job_state::DONE, at));
@@ -65,7 +65,7 @@
         if let Some((known_state, told_at)) = known_end
             && state != known_state
         {
-            // An answer to an earlier request may be older, but must not tell another end.
+            // The answer to a request sent before that report may be older, but must not contain another final state.
             if told_at < sent_at || matches!(state, job_state::DONE | job_state::CANCELLED) {
                 let later = sent_at.saturating_sub(told_at) / MS;
                 let detail = format!("{} is called {state} after {known_state}, asked {later} ms later", user.spec.id);
--- a/tests/simulation/user_requests.rs
+++ b/tests/simulation/user_requests.rs
@@ -1,22 +1,22 @@
-//! What users ask, and when.
+//! Requests of users.
 
 use super::users::{User, UserRequest};
 use super::*;
 
-/// How long a user waits for an answer.
+/// Time for which a user waits for an answer.
 pub(super) const REQUEST_TIMEOUT: u64 = 5 * SEC;
 
-/// How long the user of a live job may go without an answer after the faults are over.
+/// Longest time for which the user of a live job may get no answer after the faults are over.
 const MAX_UNANSWERED: u64 = 75 * SEC;
 
-/// How long a user tries to submit a job.
+/// Time after which a user gives up submitting a job.
 const SUBMISSION_TIMEOUT: u64 = 60 * SEC;
 
-/// How long after the completion of a job a user sends requests, at most.
+/// Upper bounds of the delays with which users send requests after the completion of their job.
 const COMPLETION_DELAYS: [u64; 4] = [MS, 20 * MS, 200 * MS, 1200 * MS];
 
 impl Simulation {
-    /// Has a user decide what to ask next.
+    /// Chooses and sends the next request of a user, and schedules the one after it.
     pub(super) fn step_user(&mut self, user: usize) {
         let roll: u32 = self.rng.random_range(0..100);
         if self.users[user].abandoned || self.is_unanswered_for_too_long(user) || !self.may_submit(user) {
@@ -31,12 +31,13 @@
         }
     }
 
-    /// Returns how many times as often as usual users ask.
+    /// Returns the factor on the rate of the users' requests.
     fn request_rate_factor(&self) -> u64 {
         if self.now < self.request_storm_until { 8 } else { 1 }
     }
 
-    /// Checks that the user of a live job gets answers after the faults are over.
+    /// Checks, once the faults are over, that the user of a live job gets answers. Returns `true` if the last one is
+    /// too long ago.
     fn is_unanswered_for_too_long(&mut self, user: usize) -> bool {
         let user = &self.users[user];
         let is_live = user.accepted_at.is_some() && !user.is_over();
@@ -51,7 +52,7 @@
         true
     }
 
-    /// Whether the user may ask now; a job is not submitted before its prerequisites are accepted.
+    /// Returns `true` if the user may send requests now. A job is not submitted before its prerequisites are accepted.
     fn may_submit(&mut self, index: usize) -> bool {
         let user = &self.users[index];
         if user.accepted_at.is_some() || user.prerequisites.is_empty() {
@@ -73,7 +74,7 @@
         true
     }
 
-    /// Returns what the user asks now, and how long the user waits afterwards.
+    /// Returns the user's next request and the pause after it, or `None` if the user gives up.
     fn choose_request(&mut self, user: usize, roll: u32) -> Option<(UserRequest, u64)> {
         let (now, speed) = (self.now, self.request_rate_factor());
         let user = &mut self.users[user];
@@ -85,7 +86,7 @@
             }
             return Some((UserRequest::Submit, SEC));
         }
-        // A retry may come late, even after the job is over.
+        // A repeated submission may arrive late, even after the job has ended.
         if roll < 8 {
             return Some((UserRequest::Submit, 2 * SEC));
         }
@@ -142,7 +143,7 @@
         }
     }
 
-    /// Has some users send requests in the moment in which the last task of their job completes.
+    /// Makes some users send requests at the moment at which the last task of their job completes.
     pub(super) fn task_completed(&mut self, job: &JobId) {
         let fault = self.requests_at_completion;
         let Some(probability) = fault.and_then(|fault| fault.active(self.now)) else { return };
@@ -160,8 +161,8 @@
         }
     }
 
-    /// Has the users of up to `count` running jobs cancel them within a fifth of a second. Returns the machines with
-    /// tasks of these jobs.
+    /// Makes the users of up to `count` running jobs cancel them within 200 ms. Returns the machines with tasks of
+    /// these jobs.
     pub fn cancel_running_jobs(&mut self, count: usize) -> Vec<u32> {
         let running: Vec<usize> = (0..self.users.len())
             .filter(|user| !self.users[*user].is_over() && !self.machines_with(*user).is_empty())
@@ -186,7 +187,7 @@
         self.machines_where(|worker| worker.has_task_of(job))
     }
 
-    /// Schedules requests to all controllers right after a user was told a new state of the job: polls, repeated
+    /// Schedules requests to all controllers immediately after a user was told a new state of the job: polls, repeated
     /// submissions and, from some users, cancellations.
     pub(super) fn schedule_consistency_checks(&mut self, user: usize, is_accepted: bool) {
         if self.now >= self.consistency_checks_until {
@@ -206,7 +207,7 @@
         }
     }
 
-    /// Sends a request to a particular controller.
+    /// Sends a request of a user to a particular controller, if that is running.
     pub(super) fn check_consistency(&mut self, user: usize, node: usize, request: UserRequest) {
         if self.is_up(node) {
             self.observations.consistency_checks.sent += 1;
@@ -214,7 +215,8 @@
         }
     }
 
-    /// Polls a controller for `duration` about every job whose final record was is written in that time.
+    /// Runs for `duration` and polls a controller about every job whose final record is written in that time. Counts
+    /// the answers that report an older state.
     pub fn count_stale_answers(&mut self, node: usize, duration: u64) -> StaleAnswers {
         let jobs: Vec<JobId> = self.users.iter().map(|user| user.spec.id.clone()).collect();
         let live: Vec<JobId> = jobs.into_iter().filter(|job| !self.has_final_record(job)).collect();
@@ -231,22 +233,23 @@
         result
     }
 
-    /// Whether the final record of a job is stored.
+    /// Returns `true` if the final record of a job is stored.
     pub fn has_final_record(&self, job: &JobId) -> bool {
         self.state_service.get(&format!("end/{job}")).is_some()
     }
 
-    /// Whether the record of a live job is stored.
+    /// Returns `true` if the live record of a job is stored.
     pub fn has_live_record(&self, job: &JobId) -> bool {
         self.state_service.get(&format!("live/{job}")).is_some()
     }
 }
 
-/// How often a controller told an older state of a job than the recorded one.
+/// Count of a controller's answers that are older than the recorded state of the job.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StaleAnswers {
+    /// Number of stale answers.
     pub stale: usize,
-    /// How many jobs have ended meanwhile.
+    /// Number of jobs that ended in the meantime.
     pub ended_jobs: usize,
 }
 
--- a/tests/simulation/users.rs
+++ b/tests/simulation/users.rs
@@ -1,64 +1,65 @@
-//! Simulated users, each of whom has one job.
+//! Simulated users, each with one job.
 
 use super::*;
 
-/// A user and what the user knows of the job.
+/// User with the job's specification and the states that controllers have reported.
 pub struct User {
     pub spec: JobSpec,
-    /// How long the first task of the job runs.
+    /// Run time of the first task of the job.
     pub run_time: u64,
-    /// How much longer each task runs than the one before it.
+    /// Difference between the run times of a task and the one before it.
     pub run_time_step: u64,
-    /// Whether the job's tasks fail on every machine, as after a mistake in the submission.
+    /// `true` if the job's tasks fail on every machine, as after a mistake in the submission.
     pub fails: bool,
     pub submit_at: u64,
-    /// How long after its submission the job is cancelled.
+    /// Time from the submission to the first cancel request. `None`: the job is not cancelled.
     pub cancel_after: Option<u64>,
-    /// When the user was told that the job is accepted.
+    /// Time at which the user was told that the job is accepted.
     pub accepted_at: Option<u64>,
-    /// When the user was told that the job is cancelled.
+    /// Time at which the user was told that the job is cancelled.
     pub cancelled_at: Option<u64>,
-    /// When the user was told that the job is done.
+    /// Time at which the user was told that the job is done.
     pub done_at: Option<u64>,
+    /// `true` if the user has asked to cancel the job.
     pub cancel_requested: bool,
-    /// When the user first asked to cancel the job.
+    /// Time of the first cancel request.
     pub(super) cancel_requested_at: u64,
-    /// The users whose jobs have to be accepted before this one is submitted and done before this one starts.
+    /// Users whose jobs are the prerequisites: accepted before this job is submitted, and done before it starts.
     pub prerequisites: Vec<usize>,
-    /// Whether the job is submitted only after its prerequisites have ended.
+    /// `true` if the job is submitted only after its prerequisites have ended.
     pub waits_for_prerequisites: bool,
-    /// Whether the user has stopped trying to submit the job.
+    /// `true` if the user has given up submitting the job.
     pub abandoned: bool,
     pub(super) requests_sent: u64,
-    /// Requests without an answer, and when they were sent.
+    /// Unanswered requests by number, with the times at which they were sent.
     pub(super) open_requests: BTreeMap<u64, (UserRequest, u64)>,
-    /// When a controller last told the user the state of the job.
+    /// Time of the last reply that contained the job's state.
     pub(super) last_answer_at: u64,
 }
 
 impl User {
-    /// Whether the user was told that the job is over.
+    /// Returns `true` if the user was told that the job is done or cancelled.
     pub fn is_over(&self) -> bool {
         self.cancelled_at.is_some() || self.done_at.is_some()
     }
 
-    /// Returns how long a task of the job runs.
+    /// Returns the run time of a task of the job.
     pub(super) fn run_time_of(&self, task: TaskIndex) -> u64 {
         self.run_time + self.run_time_step * u64::from(task.0)
     }
 }
 
-/// What a user asks a controller.
+/// Request of a user to a controller.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum UserRequest {
     Submit,
     Poll,
     Cancel,
-    /// Polls a job that was not submitted.
+    /// Poll of a job that was not submitted.
     PollUnknownJob,
 }
 
-/// Returns a plain job; an array's tasks are estimated to take 5 s.
+/// Returns a job without placement constraints, checkpoints or prerequisites, whose estimated run time is 5 s.
 pub fn spec(id: u32, kind: JobKind, team: &str, tasks: u32, cpus: f64) -> JobSpec {
     JobSpec {
         id: JobId::new(&format!("wk-{id:06}")),
@@ -84,7 +85,8 @@
 }
 
 impl Simulation {
-    /// Adds a user whose job is submitted at that time.
+    /// Adds a user whose job is submitted at `submit_at`, and cancelled `cancel_after` later if that is set. If
+    /// `fails`, the job's tasks fail on every machine.
     pub fn add_user(&mut self, spec: JobSpec, run_time: u64, submit_at: u64, cancel_after: Option<u64>, fails: bool) {
         let user = self.users.len();
         self.users.push(User {
@@ -109,8 +111,8 @@
         self.schedule(submit_at, ScheduledEvent::UserStep { user });
     }
 
-    /// Adds a job that depends on the jobs of other users, and returns its user. The job is submitted once its
-    /// prerequisites are accepted.
+    /// Adds a job that depends on the jobs of other users, and returns the index of its user. The job is submitted once
+    /// its prerequisites are accepted.
     pub fn add_dependent_job(
         &mut self,
         mut spec: JobSpec,
@@ -126,7 +128,8 @@
         user
     }
 
-    /// Adds services of the limited and the free team with 28 tasks in all, which run until the end.
+    /// Adds services of the limited and the free team with 28 tasks in total, which run until the end of the
+    /// simulation.
     pub fn add_services(&mut self) {
         for id in 0..12 {
             let team = if id % 3 == 0 { "limited" } else { "free" };
@@ -135,7 +138,8 @@
         }
     }
 
-    /// Returns the jobs whose users were not told that they are done, except services and cancelled ones.
+    /// Returns the jobs that were not reported as done, except services, jobs that run for more than a minute, and
+    /// cancelled ones.
     pub fn unfinished_jobs(&self) -> Vec<&JobId> {
         let may_be_unfinished =
             |user: &&User| user.run_time > 60 * SEC || user.cancel_after.is_some() || user.cancel_requested;
@@ -143,7 +147,8 @@
         unfinished.map(|user| &user.spec.id).collect()
     }
 
-    /// Returns the direct or indirect prerequisite of which a user was first told that it is cancelled, with the time.
+    /// Returns the direct or indirect prerequisite that was reported as cancelled first, and the time of that report.
+    /// Prerequisites whose users did not ask to cancel them are left out.
     pub fn cancelled_prerequisite(&self, user: usize) -> Option<(usize, u64)> {
         let mut first: Option<(usize, u64)> = None;
         for prerequisite in self.all_prerequisites(user) {
@@ -158,7 +163,7 @@
         first
     }
 
-    /// Whether a user has asked to cancel a direct or indirect prerequisite of a user's job.
+    /// Returns `true` if the cancellation of a direct or indirect prerequisite of a user's job was requested.
     pub(super) fn prerequisite_cancel_requested(&self, user: usize) -> bool {
         self.all_prerequisites(user).into_iter().any(|prerequisite| self.users[prerequisite].cancel_requested)
     }
--- a/tests/simulation/worker_commands.rs
+++ b/tests/simulation/worker_commands.rs
@@ -1,4 +1,4 @@
-//! How workers execute the commands of controllers, and what they make of the answers to their heartbeats.
+//! Execution of controllers' commands by workers, and the workers' handling of the answers to their heartbeats.
 
 use super::workers::{HEARTBEAT_TIMEOUT, RunningTask};
 use super::*;
@@ -6,7 +6,7 @@
 use serde_json::Value;
 
 impl Simulation {
-    /// Executes a call of a controller; a machine that is not reachable gives no answer.
+    /// Executes a call of a controller. Returns `None` if the machine does not answer.
     pub(super) fn execute_worker_call(&mut self, number: u32, request: &WorkerCall) -> Option<WorkerAnswer> {
         let now = self.now;
         let worker = self.workers.get_mut(&number)?;
@@ -35,7 +35,8 @@
         let Some(worker) = self.workers.get_mut(&number) else { return };
         for request in std::mem::take(&mut worker.calls_while_hung) {
             if let Some(answer) = self.execute_worker_call(number, &request) {
-                // The calls have timed out, so that their answers are sent and ignored: no process has incarnation 0.
+                // The calls have timed out, so the controller has to ignore the answers. They are sent to incarnation
+                // 0, which no process has.
                 let call = OutboundCallId(0);
                 let event = Event::Worker { call, answer: Ok(answer) };
                 self.send_answer(0, 0, call, Endpoint::Machine(number), event);
@@ -57,7 +58,7 @@
             return;
         }
         if now < worker.hung_until {
-            // The answer is read when the machine goes on; by then it is usually too old.
+            // The machine reads the answer after resuming, when the heartbeat has usually timed out.
             let at = worker.hung_until + MS;
             let origin = RequestOrigin::Worker { machine: number, heartbeat: sequence_number };
             return self.schedule(at, ScheduledEvent::ReplyArrives { origin, node, reply: reply.clone() });
@@ -75,7 +76,8 @@
         }
     }
 
-    /// Renews the worker's lease and executes the commands in the answer, unless a deposed leader has sent it.
+    /// Renews the worker lease and executes the commands in the answer, unless the answer has an older fencing token
+    /// than the worker and therefore comes from a deposed leader.
     fn lease_renewed(&mut self, number: u32, sent_at: u64, body: &Value) {
         let Some(worker) = self.workers.get_mut(&number) else { return };
         let Some(token) = body["crest"].as_u64().filter(|token| *token >= worker.token) else { return };
@@ -88,7 +90,7 @@
         self.execute_commands(number, &commands);
     }
 
-    /// Turns to the controller that another one has named.
+    /// Sends the next heartbeat to the controller that was named in the answer.
     fn heartbeat_redirected(&mut self, number: u32, node: usize, body: &Value) {
         let now = self.now;
         let label = body["rookery"].as_str().unwrap_or_default();
--- a/tests/simulation/workers.rs
+++ b/tests/simulation/workers.rs
@@ -1,17 +1,17 @@
-//! Simulated worker machines, which are as strict as the protocol demands.
+//! Simulated worker machines, which enforce the rules of the worker protocol.
 
 use super::*;
 use crowstall::protocol::workers::{Exit, TaskStatus, WorkerHeartbeat};
 use crowstall::time::Span;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-/// How long a worker waits for the answer to a heartbeat.
+/// Time for which a worker waits for the answer to a heartbeat.
 pub(super) const HEARTBEAT_TIMEOUT: u64 = 4 * SEC;
 
-/// How long a worker waits before it turns to another controller.
+/// Pause before a worker sends a heartbeat to another controller.
 const NEXT_CONTROLLER_PAUSE: u64 = SEC;
 
-/// The first port of the workers' addresses; the machine's number is added.
+/// Lowest port of the workers' addresses. A machine's port is this one plus the machine's number.
 const FIRST_PORT: u16 = 1000;
 
 /// Returns the identifier of a machine.
@@ -19,7 +19,7 @@
     MachineId::new(&format!("i-{number:06}"))
 }
 
-/// Returns the number of a machine.
+/// Returns the number in a machine's identifier, or `u32::MAX` if there is none.
 pub fn machine_number(machine: &MachineId) -> u32 {
     machine.as_str().trim_start_matches("i-").parse().unwrap_or(u32::MAX)
 }
@@ -29,29 +29,29 @@
     u32::from(addr.port()) - u32::from(FIRST_PORT)
 }
 
-/// An attempt of a task on a machine.
+/// Attempt of a task on a machine.
 #[derive(Clone, Debug)]
 pub struct RunningTask {
     pub state: TaskState,
-    /// When the current state ends.
+    /// Time at which the current state ends.
     pub until: u64,
-    /// When the machine was commanded to start the attempt.
+    /// Time at which the machine executed the start command.
     pub(super) commanded_at: u64,
 }
 
 impl RunningTask {
-    /// Whether the attempt is executing, which it is from when it has its image until it has exited.
+    /// Returns `true` if the attempt executes: after the image was fetched and before the attempt exits.
     pub fn occupies_machine(&self) -> bool {
         matches!(self.state, TaskState::Running | TaskState::Saving)
     }
 
-    /// Whether the attempt is over.
+    /// Returns `true` if the attempt has ended.
     pub fn has_exited(&self) -> bool {
         matches!(self.state, TaskState::Exited(_))
     }
 }
 
-/// A heartbeat without an answer.
+/// Heartbeat that has not been answered yet.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct HeartbeatInFlight {
     pub(super) sequence_number: u64,
@@ -59,38 +59,40 @@
     pub(super) epoch: u64,
 }
 
-/// A worker machine.
+/// Worker machine.
 pub struct Worker {
     pub number: u32,
-    /// The machine type.
+    /// Name of the machine type.
     pub kind: Name,
     pub zone: Name,
     pub spot: bool,
-    /// When the machine has booted.
+    /// Time at which the machine has booted, or its agent has restarted.
     pub up_at: u64,
-    /// Until when the machine does nothing, as if it was suspended.
+    /// End of the period in which the machine does nothing, as if it were suspended.
     pub hung_until: u64,
-    /// Until when answers and commands do not reach the machine, while its heartbeats arrive.
+    /// End of the period in which answers and commands do not reach the machine, while its heartbeats arrive.
     pub answers_lost_until: u64,
-    /// Until when the machine cannot connect to any controller, while commands reach it.
+    /// End of the period in which the machine cannot connect to any controller, while commands reach it.
     pub heartbeats_blocked_until: u64,
-    /// Whether all tasks fail on the machine.
+    /// `true` if all tasks fail on the machine.
     pub faulty: bool,
-    /// When the cloud takes the machine back, if it has said so.
+    /// Time at which the cloud reclaims the machine, if it has given notice.
     pub notice_at: Option<u64>,
-    /// Rises whenever the worker's lease expires.
+    /// Agent epoch, which increases whenever the worker lease expires or the agent restarts.
     pub epoch: u64,
+    /// Sequence number of the last heartbeat.
     pub(super) sequence_number: u64,
-    /// The highest fencing token seen.
+    /// Highest fencing token seen.
     pub(super) token: u64,
+    /// Start of the current worker lease: the time at which the last answered heartbeat was sent.
     pub(super) lease_from: Option<u64>,
-    /// The attempts on the machine, by task and attempt number.
+    /// Attempts on the machine, by task and attempt number.
     pub tasks: BTreeMap<(TaskId, u64), RunningTask>,
-    /// The controller that gets the worker's heartbeats.
+    /// Controller to which heartbeats are sent.
     node: usize,
     next_heartbeat: u64,
     last_heartbeat: u64,
-    /// Whether the task list has changed since the last heartbeat.
+    /// `true` if the task list or the fencing token has changed since the last heartbeat.
     pub(super) changed: bool,
     pub(super) heartbeat_in_flight: Option<HeartbeatInFlight>,
     /// Calls that arrived while the machine was hung.
@@ -131,44 +133,44 @@
         kind.map(|kind| kind.room).unwrap_or_default()
     }
 
-    /// Whether the machine can be expected to keep and complete tasks.
+    /// Returns `true` if the machine can be expected to keep and complete tasks.
     pub(super) fn is_healthy(&self) -> bool {
         !self.faulty && self.notice_at.is_none()
     }
 
-    /// Returns when the last fault of the machine was over.
+    /// Returns the end of the last fault of the machine.
     pub(super) fn last_fault(&self) -> u64 {
         self.hung_until.max(self.answers_lost_until).max(self.heartbeats_blocked_until)
     }
 
-    /// Whether the machine runs or has run a task of a job, as far as the machine remembers.
+    /// Returns `true` if the machine's task list contains a task of a job, running or exited.
     pub fn has_task_of(&self, job: &JobId) -> bool {
         self.tasks.keys().any(|(task, _)| task.job == *job)
     }
 
-    /// Sends the next heartbeat to another controller.
+    /// Sets the controller that gets the next heartbeat, and its time.
     pub(super) fn turn_to(&mut self, node: usize, at: u64) {
         self.node = node;
         self.next_heartbeat = at;
     }
 
-    /// Sends the next heartbeat to the controller after `node`.
+    /// Sends the next heartbeat to the controller that follows `node`.
     pub(super) fn turn_to_next_after(&mut self, node: usize, now: u64) {
         self.turn_to((node + 1) % CONTROLLERS, now + NEXT_CONTROLLER_PAUSE);
     }
 
-    /// Sends the next heartbeat to the next controller.
+    /// Sends the next heartbeat to the controller that follows the current one.
     pub(super) fn turn_to_next(&mut self, now: u64) {
         self.turn_to_next_after(self.node, now);
     }
 
-    /// Kills all tasks and begins a new epoch.
+    /// Kills all tasks and begins a new agent epoch.
     fn expire_lease(&mut self) {
         self.tasks.clear();
         self.epoch += 1;
     }
 
-    /// Expires the lease if it has run out.
+    /// Kills all tasks if the worker lease has expired, unless a disabled safeguard prevents it.
     fn check_lease(&mut self, now: u64, disabled: DisabledSafeguard) {
         let lease_from = *self.lease_from.get_or_insert(self.up_at);
         if disabled == DisabledSafeguard::LeaseExpiryOfHungMachines && now < self.hung_until + SEC {
@@ -180,13 +182,14 @@
         }
     }
 
-    /// Returns the attempts whose current state is over.
+    /// Returns the attempts whose current state ends now or earlier.
     fn due_tasks(&self, now: u64) -> Vec<(TaskId, u64)> {
         let due = self.tasks.iter().filter(|(_, task)| !task.has_exited() && task.until <= now);
         due.map(|(key, _)| key.clone()).collect()
     }
 
-    /// Whether a heartbeat has to be sent now: at its time, or soon after a change.
+    /// Returns `true` if a heartbeat has to be sent now: at the regular time, or within 500 ms of a change. Drops a
+    /// heartbeat that has timed out and switches to the next controller.
     fn heartbeat_is_due(&mut self, now: u64) -> bool {
         if let Some(heartbeat) = self.heartbeat_in_flight {
             if now - heartbeat.sent_at <= HEARTBEAT_TIMEOUT {
@@ -201,7 +204,7 @@
         (is_time || has_change) && !is_paused
     }
 
-    /// Returns the next heartbeat.
+    /// Returns the next heartbeat, with a new sequence number.
     pub(super) fn heartbeat(&mut self, now: u64) -> WorkerHeartbeat {
         self.sequence_number += 1;
         let tasks = self.tasks.iter().map(|((task, attempt), running)| TaskStatus {
@@ -226,7 +229,8 @@
 
 /// Faults of machines.
 impl Simulation {
-    /// Restarts the agent of a machine: its tasks are lost, and a new epoch begins after `down_for`.
+    /// Restarts the agent of a machine: its tasks are lost, and a new agent epoch begins after `down_for`. With a
+    /// probability of one half the agent forgets the fencing token.
     pub fn restart_machine(&mut self, number: u32, down_for: u64) {
         let (now, forgets_token) = (self.now, self.rng.random_bool(0.5));
         let Some(worker) = self.workers.get_mut(&number) else { return };
@@ -250,7 +254,7 @@
         self.workers.keys().copied().collect()
     }
 
-    /// Returns every `step`-th machine, beginning at a random one of the first.
+    /// Returns every `step`-th machine, starting with a random one of the first `step`.
     pub fn some_machines(&mut self, step: usize) -> Vec<u32> {
         let first = self.rng.random_range(0..step);
         self.workers.keys().copied().skip(first).step_by(step).collect()
@@ -261,12 +265,12 @@
         self.change_machines(machines, |worker| worker.hung_until = until);
     }
 
-    /// Loses all answers and commands to machines.
+    /// Drops all answers and commands to machines.
     pub fn lose_answers_to(&mut self, machines: &[u32], until: u64) {
         self.change_machines(machines, |worker| worker.answers_lost_until = until);
     }
 
-    /// Has machines unable to connect to any controller.
+    /// Prevents machines from connecting to any controller.
     pub fn block_heartbeats_of(&mut self, machines: &[u32], until: u64) {
         self.change_machines(machines, |worker| worker.heartbeats_blocked_until = until);
     }
@@ -277,20 +281,20 @@
         }
     }
 
-    /// Returns how many tasks of a job are running on machines that are not hung.
+    /// Returns the number of tasks of a job that run on machines that are not hung.
     pub fn running_tasks_of(&self, job: &JobId) -> usize {
         let active = self.workers.values().filter(|worker| self.now >= worker.hung_until);
         let tasks = active.flat_map(|worker| &worker.tasks);
         tasks.filter(|((task, _), running)| task.job == *job && running.state == TaskState::Running).count()
     }
 
-    /// Returns how many tasks of all jobs are running on machines that are not hung.
+    /// Returns the number of tasks of all jobs that run on machines that are not hung.
     pub fn running_tasks(&self) -> usize {
         self.users.iter().map(|user| self.running_tasks_of(&user.spec.id)).sum()
     }
 }
 
-/// What machines do.
+/// Periodic work of machines.
 impl Simulation {
     pub(super) fn step_workers(&mut self) {
         if self.now / SEC != (self.now - WORKERS_STEP) / SEC {
@@ -350,7 +354,7 @@
         let Some(worker) = self.workers.get_mut(&number) else { return };
         worker.next_heartbeat = now + interval;
         if !is_up {
-            // The connection is refused at once.
+            // A crashed controller refuses the connection immediately.
             worker.heartbeat_in_flight = None;
             return worker.turn_to_next_after(node, now);
         }
@@ -361,7 +365,7 @@
         }
     }
 
-    /// Begins the next state of an attempt: running once the image is there, and exited at the end.
+    /// Moves an attempt to its next state: from fetching its image to running, and from running to exited.
     fn advance_task(&mut self, number: u32, key: (TaskId, u64)) {
         let now = self.now;
         let (id, _) = &key;
