--- a/tests/fault_combinations/combinations.rs
+++ b/tests/fault_combinations/combinations.rs
@@ -1,16 +1,17 @@
-//! The table of all fault combinations.
+//! Table of all fault combinations.
 
 use crate::simulation::{DELAY_PACKETS, Endpoint, MS, SEC, Simulation};
 use crate::{controller_failures, machine_failures, network_failures, state_service_failures, user_requests};
 use rand::Rng;
 
-/// Faults that occur together.
+/// Faults that are injected together.
 pub struct FaultCombination {
     pub name: &'static str,
+    /// Function that injects the faults and may run the simulation in between.
     pub inject: fn(&mut Simulation),
 }
 
-/// All fault combinations. Seeds refer to their order.
+/// All fault combinations. A seed selects combinations by their position, so the order must not change.
 pub const FAULT_COMBINATIONS: [FaultCombination; 24] = [
     FaultCombination {
         name: "repeated failovers while tasks of a job end far apart",
@@ -107,12 +108,13 @@
     FaultCombination { name: "an isolated zone with a controller in it", inject: network_failures::isolated_zone },
 ];
 
-/// Returns the fault combination with that name.
+/// Returns the fault combination with the given name. Panics if there is none.
 pub fn fault_combination(name: &str) -> &'static FaultCombination {
     FAULT_COMBINATIONS.iter().find(|combination| combination.name == name).expect("the fault combination exists")
 }
 
-/// Has the leader of the first shard fail, if there is one: it crashes, freezes, or loses the state service.
+/// Makes the leader of the first shard fail, if there is one: the leader crashes, freezes, is refused by the state
+/// service, or loses the connection to the state service.
 pub fn fail_leader(simulation: &mut Simulation) {
     let Some(node) = simulation.leader(0).filter(|node| simulation.is_up(*node)) else { return };
     let until = simulation.now + simulation.rng.random_range(SEC..12 * SEC);
@@ -127,7 +129,7 @@
     }
 }
 
-/// Returns the leader of the first shard, or any controller if there is none.
+/// Returns the leader of the first shard, or controller 0 if there is none.
 pub fn leader_or_any(simulation: &Simulation) -> usize {
     simulation.leader(0).unwrap_or(0)
 }
--- a/tests/fault_combinations/controller_failures.rs
+++ b/tests/fault_combinations/controller_failures.rs
@@ -1,4 +1,4 @@
-//! Controllers crash, freeze and lose their connections.
+//! Fault combinations in which controllers crash, freeze or lose their connections.
 
 use crate::combinations::{fail_leader, leader_or_any};
 use crate::simulation::users::spec;
@@ -6,14 +6,14 @@
 use crowstall::model::*;
 use rand::Rng;
 
-/// Injects repeated failovers while tasks of a job end far apart.
+/// Injects two failovers. The workload contains jobs whose tasks end far apart.
 pub fn repeated_failovers(simulation: &mut Simulation) {
     fail_leader(simulation);
     simulation.run_for_random(500 * MS..6 * SEC);
     fail_leader(simulation);
 }
 
-/// Injects controllers that crash repeatedly and restart within a second.
+/// Makes controllers crash six times, mostly the leader. Almost all restart within 900 ms.
 pub fn quick_restarts(simulation: &mut Simulation) {
     for round in 0..6 {
         let node = match round % 3 {
@@ -29,7 +29,7 @@
     }
 }
 
-/// Injects consistency checks on all controllers, and a failover.
+/// Checks the consistency of all controllers' answers after cancellations, with a failover in most runs.
 pub fn failover_during_consistency_checks(simulation: &mut Simulation) {
     simulation.consistency_checks_until = simulation.now + 40 * SEC;
     simulation.cancel_running_jobs(4);
@@ -39,7 +39,7 @@
     }
 }
 
-/// Injects cancellations during failovers.
+/// Cancels jobs during one to three failovers.
 pub fn cancellations_during_failovers(simulation: &mut Simulation) {
     let failovers = simulation.rng.random_range(1..4);
     for _ in 0..failovers {
@@ -51,7 +51,7 @@
     }
 }
 
-/// Injects short jobs, a quarter of them cancelled, and a failover.
+/// Adds 200 short jobs, a quarter of which are cancelled, and injects a failover.
 pub fn failover_with_short_jobs(simulation: &mut Simulation) {
     let begin = simulation.now;
     for number in 0..200 {
@@ -67,7 +67,7 @@
     fail_leader(simulation);
 }
 
-/// Injects all controllers down for longer than a worker lease.
+/// Crashes all controllers for longer than a worker lease, and cancels jobs in the meantime.
 pub fn all_controllers_down(simulation: &mut Simulation) {
     let duration = simulation.rng.random_range(WORKER_LEASE..3 * WORKER_LEASE);
     for node in simulation.running_controllers() {
@@ -78,7 +78,7 @@
     simulation.cancel_running_jobs(5);
 }
 
-/// Injects ten failovers in two minutes, and an outage.
+/// Injects ten failovers within at most 140 s and, in half of the runs, an outage of the state service.
 pub fn ten_failovers(simulation: &mut Simulation) {
     let round_with_outage = simulation.rng.random_range(0..20);
     for round in 0..10 {
--- a/tests/fault_combinations/disabled_safeguards.rs
+++ b/tests/fault_combinations/disabled_safeguards.rs
@@ -1,4 +1,4 @@
-//! The checker notices each kind of violation that the fault combinations may cause.
+//! Tests of the checker: without a safeguard, it detects the violations that the fault combinations may cause.
 
 use crate::combinations::{FaultCombination, fault_combination};
 use crate::runner::run_with;
@@ -9,18 +9,18 @@
 const UNREACHABLE_MACHINES: &str = "cancellations on unreachable machines, and a failover";
 const TEN_FAILOVERS: &str = "ten failovers in two minutes, and an outage";
 
-/// Whether some seed has a violation without a safeguard.
+/// Returns `true` if a run of one of 30 seeds without a safeguard satisfies `is_violation`.
 fn is_noticed(disabled: DisabledSafeguard, name: &str, is_violation: impl Fn(&Simulation) -> bool) -> bool {
     let combinations: [&FaultCombination; 1] = [fault_combination(name)];
     (0..30).any(|seed| is_violation(&run_with(seed, disabled, &combinations)))
 }
 
-/// Whether some seed violates a rule without a safeguard.
+/// Returns `true` if a run of one of 30 seeds without a safeguard violates a rule.
 fn violates(disabled: DisabledSafeguard, name: &str, rule: Rule) -> bool {
     is_noticed(disabled, name, |simulation| simulation.violates(&[rule]))
 }
 
-/// Whether a team exceeds its quota on some seed without a safeguard.
+/// Returns `true` if a team exceeds its quota in a run of one of 30 seeds without a safeguard.
 fn exceeds_quota(disabled: DisabledSafeguard, name: &str, team: &str) -> bool {
     is_noticed(disabled, name, |simulation| {
         let mut violations = simulation.violations.iter();
--- a/tests/fault_combinations/machine_failures.rs
+++ b/tests/fault_combinations/machine_failures.rs
@@ -1,4 +1,4 @@
-//! Machines hang, restart, vanish, boot at unusual times and lose their connections.
+//! Fault combinations in which machines hang, restart, vanish, boot unusually fast or lose their connections.
 
 use crate::combinations::{fail_leader, leader_or_any};
 use crate::simulation::{DELAY_PACKETS, Endpoint, MS, SEC, Simulation, TemporaryFault};
@@ -6,7 +6,7 @@
 use crowstall::model::*;
 use rand::Rng;
 
-/// Injects commands and answers that reach machines late, and a failover.
+/// Delays commands and answers to machines, which hang or are separated from the leader, and injects a failover.
 pub fn delayed_commands(simulation: &mut Simulation) {
     let node = leader_or_any(simulation);
     let machines_hang = simulation.rng.random_bool(0.5);
@@ -24,7 +24,7 @@
     fail_leader(simulation);
 }
 
-/// Injects machines that are unreachable or get no answers, and a failover.
+/// Makes machines unreachable, or drops all answers to them, and injects a failover.
 pub fn unreachable_machines(simulation: &mut Simulation) {
     let answers_are_lost = simulation.rng.random_bool(0.5);
     let until = simulation.now + simulation.rng.random_range(5 * SEC..50 * SEC);
@@ -41,7 +41,7 @@
     fail_leader(simulation);
 }
 
-/// Injects cancellations on unreachable machines, and a failover.
+/// Cancels jobs, makes their machines hang or isolates them, and injects a failover.
 pub fn cancellations_on_unreachable_machines(simulation: &mut Simulation) {
     let until = simulation.now + simulation.rng.random_range(SEC..45 * SEC);
     let machines = simulation.cancel_running_jobs(14);
@@ -58,12 +58,13 @@
     fail_leader(simulation);
 }
 
-/// With a probability of a half, machines cannot be returned for a while, which would end their tasks.
+/// With a probability of one half, makes the cloud refuse to delete machines until `until`. Otherwise a deletion could
+/// end the tasks on unreachable machines.
 fn refuse_deletes_perhaps(simulation: &mut Simulation, until: u64) {
     simulation.cloud.deletes_refused_until = if simulation.rng.random_bool(0.5) { until } else { 0 };
 }
 
-/// Injects machines that boot quickly while transactions are delayed, and failovers.
+/// Makes machines boot fast while transactions are delayed or their answers are lost, and injects two failovers.
 pub fn quick_boots(simulation: &mut Simulation) {
     simulation.cloud.boot_time_factors = Some([Some(0.25), Some(0.05)]);
     let probability = simulation.rng.random_range(0.1..0.5);
@@ -80,7 +81,7 @@
     }
 }
 
-/// Injects machines that cannot send heartbeats, and a failover or an outage.
+/// Prevents machines from sending heartbeats, and injects a failover or an outage of the state service.
 pub fn blocked_heartbeats(simulation: &mut Simulation) {
     let until = simulation.now + simulation.rng.random_range(4 * SEC..45 * SEC);
     let machines = simulation.some_machines(3);
@@ -95,7 +96,7 @@
     }
 }
 
-/// Injects a zone that loses machines while jobs are bound to it.
+/// Removes or restarts machines of a zone to which jobs are bound, with a failover in half of the runs.
 pub fn zone_loses_machines(simulation: &mut Simulation) {
     add_jobs(simulation, 700_000, 16, |id, job| {
         (job.tasks, job.needs.cpus) = (1 + id % 6, Quantity::new(2.0));
--- a/tests/fault_combinations/main.rs
+++ b/tests/fault_combinations/main.rs
@@ -1,4 +1,6 @@
-//! Combinations of faults that are likely to violate a safety rule, each injected alone and together with others.
+//! Simulations with combinations of faults that are likely to expose violations of the safety rules.
+//!
+//! Each combination is injected alone and together with another one.
 
 mod combinations;
 mod controller_failures;
--- a/tests/fault_combinations/network_failures.rs
+++ b/tests/fault_combinations/network_failures.rs
@@ -1,4 +1,4 @@
-//! Connections fail or are slow, and heartbeats arrive late or twice.
+//! Fault combinations in which connections fail or are slow, and heartbeats arrive late or twice.
 
 use crate::combinations::{fail_leader, leader_or_any};
 use crate::simulation::{
@@ -8,7 +8,8 @@
 use crowstall::model::*;
 use rand::Rng;
 
-/// Injects a leader that reaches only its workers and users.
+/// Separates the leader from the other controllers and the state service, so that it reaches only workers, users and
+/// the cloud. In half of the runs, some machines reach only this leader.
 pub fn isolated_leader(simulation: &mut Simulation) {
     let node = leader_or_any(simulation);
     let delay_packets = simulation.rng.random_bool(0.5);
@@ -22,7 +23,7 @@
     }
 }
 
-/// Injects duplicates of heartbeats after newer ones, and a failover.
+/// Delivers copies of heartbeats after newer ones, and injects a failover and restarts of machines.
 pub fn duplicate_heartbeats(simulation: &mut Simulation) {
     simulation.duplicate_heartbeats = Some(TemporaryFault::new(simulation.now + 25 * SEC, 30 * SEC));
     fail_leader(simulation);
@@ -30,7 +31,8 @@
     restart_some_machines(simulation, 4);
 }
 
-/// Injects old heartbeats that reach every controller during a failover.
+/// Retains copies of heartbeats, which reach every controller during a failover. Machines restart before it, so that
+/// the copies contain former agent epochs.
 pub fn replayed_heartbeats(simulation: &mut Simulation) {
     for _ in 0..2 {
         simulation.heartbeats_retained_until = simulation.now + 20 * SEC;
@@ -42,7 +44,7 @@
     }
 }
 
-/// Restarts every `step`-th machine.
+/// Restarts the agent of every `step`-th machine.
 fn restart_some_machines(simulation: &mut Simulation, step: usize) {
     for machine in simulation.some_machines(step) {
         let down_for = simulation.rng.random_range(50 * MS..2 * SEC);
@@ -50,7 +52,7 @@
     }
 }
 
-/// Injects heartbeats that are delayed until after a failover.
+/// Delays the heartbeats of some machines until after a failover, and then cancels jobs.
 pub fn delayed_heartbeats(simulation: &mut Simulation) {
     let until = simulation.now + simulation.rng.random_range(500 * MS..9 * SEC);
     for machine in simulation.some_machines(2) {
@@ -63,7 +65,7 @@
     simulation.cancel_running_jobs(3);
 }
 
-/// Injects slow links under overload, and a failover.
+/// Slows down the links of all controllers, overloads the cluster with more jobs, and injects a failover.
 pub fn slow_links_under_overload(simulation: &mut Simulation) {
     let until = simulation.now + simulation.rng.random_range(5 * SEC..30 * SEC);
     for node in 0..CONTROLLERS {
@@ -80,7 +82,7 @@
     fail_leader(simulation);
 }
 
-/// Injects an isolated zone with a controller in it.
+/// Isolates a zone together with a controller, the leader in more than half of the runs, and cancels jobs.
 pub fn isolated_zone(simulation: &mut Simulation) {
     let until = simulation.now + simulation.rng.random_range(WORKER_LEASE + SEC..4 * WORKER_LEASE);
     let delay_packets = simulation.rng.random_bool(0.5);
--- a/tests/fault_combinations/runner.rs
+++ b/tests/fault_combinations/runner.rs
@@ -1,4 +1,4 @@
-//! Runs days on which one fault combination occurs, or two close to each other.
+//! Simulation runs with one fault combination, or with two shortly after each other.
 
 use crate::combinations::{FAULT_COMBINATIONS, FaultCombination};
 use crate::simulation::users::spec;
@@ -9,16 +9,16 @@
 use rand::Rng;
 use std::ops::Range;
 
-/// The variable with the seeds to run, as in `SEEDS=1000..2000`.
+/// Environment variable that contains the range of seeds to run, as in `SEEDS=1000..2000`.
 const SEEDS_VARIABLE: &str = "SEEDS";
 
-/// The seeds that run without that variable.
+/// Range of seeds to run if the variable `SEEDS` is not set.
 const DEFAULT_SEEDS: Range<u64> = 0..96;
 
-/// Properties of the operators, one of which applies to each seed.
+/// Properties of the operators. Each seed runs with one of them.
 const PROPERTIES: [&str; 4] = ["", "claim.life.ms = 8000", "standby.enabled = false", "recovery.reclaim = false"];
 
-/// Returns a simulation that has run for 24 s or more with jobs of every kind.
+/// Returns a simulation with all kinds of jobs that has run until 24 to 27 s of simulated time.
 fn start_workload(seed: u64, disabled: DisabledSafeguard, properties: &str) -> Simulation {
     let mut simulation = match seed % 5 {
         0 => Simulation::new(seed, disabled),
@@ -45,7 +45,7 @@
     }
 }
 
-/// Adds arrays, some with two or three tasks that end far apart, and some that are cancelled.
+/// Adds arrays: half of them with two or three tasks that end far apart, and a fifth of them cancelled.
 fn add_arrays(simulation: &mut Simulation) {
     for id in 100..190 {
         let has_few_tasks = id % 2 == 0;
@@ -63,7 +63,7 @@
     }
 }
 
-/// Adds services that are cancelled around the time of the faults.
+/// Adds services that are cancelled before, during or after the faults.
 fn add_cancelled_services(simulation: &mut Simulation) {
     for id in 200..212 {
         let cancel_after = simulation.rng.random_range(18 * SEC..60 * SEC);
@@ -71,7 +71,7 @@
     }
 }
 
-/// Runs a day on which the fault combinations occur shortly one after another.
+/// Runs a seed with fault combinations shortly after each other, and then for 190 s without faults.
 pub fn run_with(seed: u64, disabled: DisabledSafeguard, combinations: &[&FaultCombination]) -> Simulation {
     let properties = PROPERTIES[seed as usize / 5 % PROPERTIES.len()];
     let mut simulation = start_workload(seed, disabled, properties);
@@ -83,7 +83,8 @@
     simulation
 }
 
-/// Returns the fault combinations of a seed: all pairs in turn, and now and then one alone.
+/// Returns the fault combinations of a seed: pairs in five of six rounds through the table, and single combinations in
+/// the sixth.
 fn combinations_of(seed: u64) -> Vec<&'static FaultCombination> {
     let count = FAULT_COMBINATIONS.len();
     let round = seed as usize / count;
@@ -92,7 +93,7 @@
     if round % 6 == 5 { vec![first] } else { vec![first, second] }
 }
 
-/// Runs a seed's day. Returns what was observed, and what went wrong.
+/// Runs a seed with its fault combinations. Returns the measurements, and a description of the failure if there is one.
 fn run_day(seed: u64) -> (Summary, Option<String>) {
     let combinations = combinations_of(seed);
     let simulation = run_with(seed, DisabledSafeguard::None, &combinations);
@@ -109,7 +110,7 @@
     (Summary::of(&simulation), failure)
 }
 
-/// Returns the seeds to run.
+/// Returns the seeds to run, from the environment variable or by default.
 fn seeds() -> Range<u64> {
     let requested = std::env::var(SEEDS_VARIABLE).ok();
     let requested = requested.and_then(|range| {
@@ -119,7 +120,7 @@
     requested.unwrap_or(DEFAULT_SEEDS)
 }
 
-/// What was observed on one day or on several.
+/// Measurements of one or more runs.
 #[derive(Default)]
 struct Summary {
     observations: Observations,
@@ -174,7 +175,7 @@
     let days = seeds.end - seeds.start;
     let mut summary = Summary::default();
     let mut failures = Vec::new();
-    // Days do not depend on each other, so each processor runs a part of them.
+    // Runs are independent of each other, so each processor executes a part of them.
     let threads = std::thread::available_parallelism().map_or(1, |count| count.get() as u64).min(days.max(1));
     std::thread::scope(|scope| {
         let part = |first: u64| seeds.clone().skip(first as usize).step_by(threads as usize);
--- a/tests/fault_combinations/state_service_failures.rs
+++ b/tests/fault_combinations/state_service_failures.rs
@@ -1,10 +1,11 @@
-//! The state service executes transactions late, loses answers, refuses controllers and has outages.
+//! Fault combinations in which the state service executes transactions late, loses answers, refuses controllers or has
+//! an outage.
 
 use crate::combinations::{fail_leader, leader_or_any};
 use crate::simulation::{CANCELLATION_BOUND, DELAY_PACKETS, Endpoint, MS, SEC, Simulation, TemporaryFault};
 use rand::Rng;
 
-/// Injects transactions that are executed late and without an answer.
+/// Makes the state service execute some transactions late and without an answer, and injects a failover.
 pub fn delayed_transactions(simulation: &mut Simulation) {
     let probability = simulation.rng.random_range(0.1..0.6);
     let until = simulation.now + simulation.rng.random_range(5 * SEC..30 * SEC);
@@ -13,7 +14,7 @@
     fail_leader(simulation);
 }
 
-/// Injects lost answers to transactions, and a failover.
+/// Loses answers to transactions, cancels jobs, and injects a failover.
 pub fn lost_answers(simulation: &mut Simulation) {
     let probability = simulation.rng.random_range(0.1..0.5);
     let until = simulation.now + simulation.rng.random_range(4 * SEC..25 * SEC);
@@ -25,7 +26,8 @@
     fail_leader(simulation);
 }
 
-/// Injects a slow state service that refuses the leader, and then an outage.
+/// Slows down the answers of the state service, which refuses the leader and then has an outage. In half of the runs,
+/// the leader is also isolated from the other controllers.
 pub fn leader_refused_before_outage(simulation: &mut Simulation) {
     let now = simulation.now;
     let node = leader_or_any(simulation);
@@ -43,7 +45,8 @@
     simulation.state_service.start_outage(simulation.now, duration);
 }
 
-/// Injects cancellations while the state service refuses the leader, and then an outage.
+/// Cancels jobs while the state service refuses the leader, and then injects an outage of at least the bound on
+/// cancellations.
 pub fn cancellations_before_outage(simulation: &mut Simulation) {
     let node = leader_or_any(simulation);
     simulation.state_service.refused_until[node] = simulation.now + 3 * SEC;
--- a/tests/fault_combinations/unanswered_state_calls.rs
+++ b/tests/fault_combinations/unanswered_state_calls.rs
@@ -1,5 +1,5 @@
-//! Calls to the state service that get no answer or a late one, in orders of events that the random days do not produce
-//! by themselves.
+//! Tests with calls to the state service that get no answer or a late one, in sequences of events that the random fault
+//! combinations do not produce.
 
 use crate::simulation::user_requests::StaleAnswers;
 use crate::simulation::users::spec;
@@ -10,7 +10,7 @@
 use rand::Rng;
 use std::collections::BTreeSet;
 
-/// Returns a simulation with services whose users cancel them around the time of 31 s.
+/// Returns a simulation, at 30 s of simulated time, with services that are cancelled within the next few seconds.
 fn services_about_to_be_cancelled(seed: u64, properties: &str) -> Simulation {
     let mut simulation = Simulation::with_one_shard_and_properties(seed, [12, 12], properties);
     for id in 0..24 {
@@ -21,9 +21,10 @@
     simulation
 }
 
-/// The leader's cancellations are recorded without an answer, and other controllers read the records and tell users.
-/// Then an outage begins that is longer than the bound on cancellations, while workers go on to send heartbeats to the
-/// leader. If `is_isolated`, the leader also loses the other controllers, which replace it just before the outage.
+/// Runs a simulation in which the leader gets no answer to the transactions that record cancellations, while other
+/// controllers read the records and report the cancellations to users. An outage follows that is longer than the bound
+/// on cancellations, during which workers continue to send heartbeats to the leader. If `is_isolated`, the leader also
+/// loses the connections to the other controllers, which replace it just before the outage.
 fn cancel_without_answer(seed: u64, is_isolated: bool) -> Simulation {
     let mut simulation = services_about_to_be_cancelled(seed, "claim.life.ms = 8000");
     let node = simulation.current_leader();
@@ -41,7 +42,7 @@
     simulation
 }
 
-/// Separates a controller and all machines from the other controllers; machines cannot be returned.
+/// Separates a controller and all machines from the other controllers, and makes the cloud refuse to delete machines.
 fn isolate_with_all_machines(simulation: &mut Simulation, node: usize, until: u64) {
     simulation.isolate_from_other_controllers(Endpoint::Controller(node), node, until, LOSE_PACKETS);
     for machine in simulation.machines() {
@@ -50,6 +51,8 @@
     simulation.cloud.deletes_refused_until = until;
 }
 
+/// Guards against tasks that run past the bound on cancellations because the leader, which got no answer, does not know
+/// that the cancellation was recorded and reported.
 #[test]
 fn cancelled_tasks_end_in_time_if_the_leader_gets_no_answer() {
     let (mut cancelled, mut longest) = (0, 0);
@@ -64,8 +67,9 @@
     assert!(cancelled >= 12, "only {cancelled} users were told that their job is cancelled before the outage");
 }
 
-/// A leader that reaches neither workers nor controllers steps down and gets no answer to that, while short jobs end
-/// under its successor. Returns how often the former leader told an older state.
+/// Runs a simulation in which a leader without connections to workers and other controllers steps down and gets no
+/// answer to the transaction that records it, while short jobs end under its successor. Returns the count of stale
+/// answers of the former leader.
 fn stale_answers_after_stepping_down(seed: u64) -> StaleAnswers {
     let mut simulation = Simulation::with_one_shard(seed, [12, 12]);
     simulation.add_services();
@@ -78,7 +82,7 @@
     let leader = Endpoint::Controller(node);
     simulation.isolate_from_other_controllers(leader, node, until, LOSE_PACKETS);
     simulation.partition(leader, [Endpoint::AllMachines], until, LOSE_PACKETS);
-    // The answers are lost from shortly before the leader steps down.
+    // The answers of the state service are lost from shortly before the leader steps down.
     simulation.run_for_random(4500 * MS..5 * SEC);
     let unanswered_from = simulation.now;
     simulation.state_service.unanswered_controller = Some(TemporaryFault::new(unanswered_from + 8 * SEC, node));
@@ -91,6 +95,7 @@
     answers
 }
 
+/// Guards against stale states in the answers of a leader that stepped down without an answer of the state service.
 #[test]
 fn former_leader_tells_nothing_stale_after_stepping_down_without_an_answer() {
     let mut answers = StaleAnswers::default();
@@ -101,7 +106,8 @@
     assert!(answers.ended_jobs >= 20, "only {} jobs have ended", answers.ended_jobs);
 }
 
-/// Workers whose heartbeats are relayed keep their leases in an outage for as long as others do.
+/// Guards against early expiry of the leases of workers whose heartbeats are relayed to the leader: in an outage of the
+/// state service they last as long as those of other workers.
 #[test]
 fn relayed_heartbeats_are_answered_in_an_outage() {
     for seed in 0..4 {
@@ -121,8 +127,9 @@
     }
 }
 
-/// The final records of some jobs are written seconds late and without an answer, while further attempts to write them
-/// are refused. Returns how often the leader told an older state of a job whose final record is stored.
+/// Runs a simulation in which the final records of some jobs are written seconds late and without an answer, while
+/// further attempts to write them are refused. Returns the count of the leader's stale answers about jobs whose final
+/// records are stored.
 fn stale_answers_with_final_writes_in_doubt(seed: u64, are_cancelled: bool) -> StaleAnswers {
     let mut simulation = Simulation::with_one_shard(seed, [12, 12]);
     simulation.cloud.reliable = true;
@@ -156,13 +163,13 @@
     StaleAnswers { stale, ended_jobs: ended.len() }
 }
 
-/// Whether a reply tells that state of a job.
+/// Returns `true` if a reply reports the given state of a job.
 fn is_in_state(reply: &Option<Reply>, state: &str) -> bool {
     reply.as_ref().is_some_and(|reply| reply.body.contains(&format!("\"mood\":\"{state}\"")))
 }
 
-/// A leader that reads the unchanged record of a job must not conclude that a final write without an answer was lost:
-/// the write may be executed later, and others may read it while the leader is refused.
+/// Guards against a leader that reads the unchanged live record of a job and concludes that a final write without an
+/// answer was lost. The write may be executed later, and others may read it while the state service refuses the leader.
 #[test]
 fn leader_tells_nothing_stale_while_a_final_write_is_in_doubt() {
     let mut answers = StaleAnswers::default();
@@ -173,8 +180,8 @@
     assert!(answers.ended_jobs >= 20, "only {} final records were written late", answers.ended_jobs);
 }
 
-/// Controllers that cannot reach one another accept jobs for the leader of the shard, and their users cancel jobs at
-/// once. Answers of the state service take up to `max_delay`.
+/// Runs a simulation in which controllers that cannot reach each other accept jobs for the leader of the shard, and
+/// users cancel jobs immediately after they were accepted. Answers of the state service take up to `max_delay`.
 fn accept_jobs_for_unreachable_leader(seed: u64, max_delay: u64) -> Simulation {
     let mut simulation = Simulation::with_one_shard(seed, [12, 12]);
     simulation.cloud.reliable = true;
@@ -194,8 +201,9 @@
     simulation
 }
 
-/// A leader that had read the record of a job before the job ended, and used the record afterwards, once adopted the
-/// job again: its task was started although the user knew that the job is cancelled, and nothing stopped the task.
+/// Guards against repeated adoption of a job: a leader that had read the live record before the job ended used it
+/// afterwards, adopted the job again and started its task. The user had already been told that the job is cancelled,
+/// and nothing stopped the task.
 #[test]
 fn job_that_has_ended_is_not_adopted_again_from_an_earlier_read() {
     let mut starts = 0;
@@ -208,9 +216,9 @@
     assert_eq!(starts, 0, "starts commanded after a confirmed cancellation");
 }
 
-/// A controller that the others cannot reach accepts a job, with a late answer of the state service. Meanwhile the
-/// leader adopts the job, which is cancelled there, and the job is submitted again where its acceptance is still
-/// pending. Returns the reply to that submission.
+/// Runs a simulation in which a controller that the others cannot reach accepts a job, and the answer of the state
+/// service arrives late. Meanwhile the leader adopts the job and cancels it for a user, and the job is submitted again
+/// at the first controller, where the acceptance is still pending. Returns the reply to the repeated submission.
 fn repeat_submission_during_acceptance(seed: u64) -> Option<Reply> {
     let mut simulation = Simulation::with_one_shard(seed, [12, 12]);
     simulation.run_until(12 * SEC);
@@ -234,11 +242,13 @@
     reply
 }
 
-/// Whether a reply contains a word.
+/// Returns `true` if the body of a reply contains a word.
 fn contains(reply: &Option<Reply>, word: &str) -> bool {
     reply.as_ref().is_some_and(|reply| reply.body.contains(word))
 }
 
+/// Guards against a controller that reports a job as pending, after a repeated submission, when the job has been
+/// cancelled since the first submission was sent.
 #[test]
 fn submission_repeated_during_acceptance_is_told_the_newest_state() {
     let mut cancelled = 0;
--- a/tests/fault_combinations/user_requests.rs
+++ b/tests/fault_combinations/user_requests.rs
@@ -1,17 +1,18 @@
-//! Users send requests at the worst moment, and requests that have to be rejected.
+//! Fault combinations with requests at the completion of jobs and with invalid submissions, and jobs for other ones.
 
 use crate::simulation::users::spec;
 use crate::simulation::{FOREVER, MS, SEC, Simulation, TemporaryFault};
 use crowstall::model::*;
 
-/// Injects requests at the completion of jobs, and malformed submissions.
+/// Makes users send requests at the completion of their jobs, and sends invalid submissions.
 pub fn requests_at_completion(simulation: &mut Simulation) {
     let until = simulation.now + 30 * SEC;
     simulation.requests_at_completion = Some(TemporaryFault::new(until, 0.8));
     simulation.schedule_malformed_requests(until, 300 * MS);
 }
 
-/// Adds jobs that are submitted now, one every 50 ms. Services are cancelled after 40 s.
+/// Adds `count` jobs, which are submitted from now on, one every 50 ms. `change` modifies a default array. Services are
+/// cancelled after 40 s.
 pub fn add_jobs(simulation: &mut Simulation, first_id: u32, count: u32, change: impl Fn(u32, &mut JobSpec)) {
     let first_id = first_id + (simulation.now / SEC) as u32 * 1000;
     for id in first_id..first_id + count {
--- a/tests/soak/clients.rs
+++ b/tests/soak/clients.rs
@@ -1,4 +1,4 @@
-//! Connections of users and workers to the controllers.
+//! HTTP clients for the requests of users and workers to the controllers.
 
 use calloop::EventLoop;
 use crowstall::protocol::Reply;
@@ -8,14 +8,14 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// How many transports share the requests, so that one that waits for its reply holds up few others.
+/// Number of transports that share the requests, to limit head-of-line blocking by a request without a reply.
 const TRANSPORTS: usize = 16;
-/// How many sockets each of them may use.
+/// Maximum number of sockets of each transport.
 const SOCKETS: usize = 256;
-/// How long a request waits for its reply.
+/// Time after which a request without a reply is dropped.
 const TIMEOUT: Span = Span::millis(5000);
 
-/// The clients of all controllers.
+/// Clients for the requests to all controllers.
 pub struct Clients {
     transports: Vec<(EventLoop<'static, Transport>, Transport)>,
 }
@@ -31,7 +31,7 @@
         Clients { transports: (0..TRANSPORTS).map(transport).collect() }
     }
 
-    /// Sends a request under a number of its own.
+    /// Sends a request. `number` identifies the request and must be unique.
     pub fn send(&mut self, number: u64, to: SocketAddrV4, request: &OutgoingRequest<'_>) {
         let (_, transport) = &mut self.transports[number as usize % TRANSPORTS];
         transport.clock();
--- a/tests/soak/links.rs
+++ b/tests/soak/links.rs
@@ -1,4 +1,4 @@
-//! A TCP proxy for each directed link between two controllers: it can hold back what is sent until the link is restored.
+//! TCP proxies for the directed links between controllers. A proxy can hold back data until its link is restored.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, SocketAddrV4, TcpListener, TcpStream};
@@ -6,13 +6,14 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// How often a blocked link is looked at.
+/// Interval at which a blocked link is checked.
 const BLOCKED_POLL: Duration = Duration::from_millis(10);
 
-/// A directed link: the first controller connects to the proxy instead of to the second one.
+/// Directed link between two controllers: the first one connects to a proxy instead of to the second one.
 pub struct Link {
-    /// Where the proxy listens.
+    /// Address at which the proxy listens.
     pub addr: SocketAddrV4,
+    /// `true` while data is held back.
     blocked: Arc<AtomicBool>,
 }
 
@@ -32,13 +33,14 @@
         Link { addr, blocked }
     }
 
-    /// Holds back what is sent over the link, or delivers it again.
+    /// Starts or stops to hold back the data sent over the link.
     pub fn set_blocked(&self, blocked: bool) {
         self.blocked.store(blocked, Ordering::Relaxed);
     }
 }
 
-/// Copies in both directions. Frames pass from the client to the server only, but its closing passes back.
+/// Forwards a connection in both directions. Frames are sent only by the client; the opposite direction is needed to
+/// pass on that the server closed the connection.
 fn connect(client: &TcpStream, target: SocketAddrV4, blocked: &Arc<AtomicBool>) {
     wait_until_open(blocked);
     let Ok(server) = TcpStream::connect(target) else { return };
@@ -48,6 +50,7 @@
     copy(client, &server, blocked);
 }
 
+/// Copies data in one direction, unless the link is blocked, and closes both connections at the end.
 fn copy(mut from: &TcpStream, mut to: &TcpStream, blocked: &AtomicBool) {
     let mut chunk = vec![0; 64 * 1024];
     while let Ok(count) = from.read(&mut chunk) {
--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -1,10 +1,11 @@
-//! Soak: real controller processes on loopback, as `deploy/service.toml` starts them, under random faults.
+//! Soak test: controller processes on the loopback interface under random faults, started as in `deploy/service.toml`.
 //!
-//! State service, cloud, workers, users, faults and checker are those of the simulation, behind sockets ([`processes`],
-//! [`services`], [`clients`], [`links`]). A seed decides the jobs, the faults and the users' requests; the order in which
-//! messages arrive is the machine's. Only the safety rules and their own bounds are checked, never a speed.
+//! The state service, the cloud, the workers, the users, the faults and the checker are those of the simulation, behind
+//! sockets ([`processes`], [`services`], [`clients`], [`links`]). A seed determines the jobs, the faults and the
+//! requests of the users. The order in which messages arrive depends on the machine. Only the safety rules with their
+//! bounds are checked, not the performance.
 //!
-//! `SEEDS=0..50 cargo test --release --test soak -- --nocapture` runs other seeds, one after the other.
+//! `SEEDS=0..50 cargo test --release --test soak -- --nocapture` runs the given seeds one after the other.
 
 #[path = "../simulation/mod.rs"]
 mod simulation;
@@ -22,17 +23,18 @@
 use simulation::users::spec;
 use simulation::{CONTROLLERS, FOREVER, SEC, Simulation};
 
-/// How many random faults a run has, and within which time.
+/// Number of random faults in a run.
 const FAULTS: u32 = 8;
+/// Approximate time within which the faults are injected.
 const FAULT_SPAN: u64 = 20 * SEC;
-/// How long the cluster runs without faults. Longer than the time in which every job must be answered.
+/// Duration for which the cluster runs without faults. Longer than the time within which every user must get answers.
 const QUIET: u64 = 80 * SEC;
-/// How long a controller may take to report that it is ready once there are no faults.
+/// Longest time for which a controller may take to report that it is ready after the period without faults.
 const READY_TIMEOUT: u64 = 10 * SEC;
-/// The seeds that run in CI, side by side.
+/// Seeds that run concurrently in CI.
 const CI_SEEDS: [u64; 3] = [0, 1, 2];
 
-/// Runs one seed. Panics if a rule is violated or a process has ended by itself.
+/// Runs one seed. Panics if a rule is violated or a process exits without having been killed.
 fn run(seed: u64) {
     let workers = if seed % 3 == 2 { 60 } else { 10 };
     let remote = ProcessControllers::new(seed);
@@ -79,7 +81,7 @@
     }
 }
 
-/// Returns the seeds `a` to `b - 1` that `SEEDS=a..b` asks for.
+/// Returns the seeds `a` to `b - 1` if the environment contains `SEEDS=a..b`.
 fn requested_seeds() -> Option<std::ops::Range<u64>> {
     let text = std::env::var("SEEDS").ok()?;
     let (first, end) = text.split_once("..")?;
@@ -92,7 +94,7 @@
         return seeds.for_each(run);
     }
     let runs: Vec<_> = CI_SEEDS.into_iter().map(|seed| std::thread::spawn(move || run(seed))).collect();
-    // All runs are joined before the first failure is passed on, so that no controller process outlives the test.
+    // All runs are joined before the first failure is propagated, so that no controller process outlives the test.
     let results: Vec<_> = runs.into_iter().map(|run| run.join()).collect();
     for result in results {
         result.unwrap_or_else(|panic| std::panic::resume_unwind(panic));
--- a/tests/soak/processes.rs
+++ b/tests/soak/processes.rs
@@ -1,4 +1,4 @@
-//! The controller processes, and what they exchange with the simulated rest of the cluster.
+//! Controller processes and their communication with the simulated services, workers and users.
 
 use crate::clients::Clients;
 use crate::links::Link;
@@ -21,57 +21,58 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::time::{Duration, Instant};
 
-/// How many lines of each controller's log are printed when a run fails.
+/// Number of lines of each controller's log that are printed after a failed run.
 const LOG_LINES: usize = 40;
 
-/// Ports below those that Linux gives to outgoing connections.
+/// Ports below the range from which Linux assigns ports to outgoing connections.
 const PORTS: Range<u16> = 12_000..32_000;
-/// How far apart the first ports of two test processes are.
+/// Distance between the first ports of two test processes with consecutive process numbers.
 const PORTS_PER_PROCESS: u32 = 64;
 
-/// Where a controller listens.
+/// Addresses at which a controller listens, for clients and for other controllers.
 #[derive(Clone, Copy)]
 struct Addresses {
     front: SocketAddrV4,
     peers: SocketAddrV4,
 }
 
-/// A controller process, or the place for one.
+/// Controller with its files and its process, if that is running.
 struct ControllerProcess {
     settings: PathBuf,
     log: PathBuf,
     child: Option<Child>,
-    /// When a stopped process goes on.
+    /// Time at which a suspended process is resumed.
     resumes_at: Option<Instant>,
 }
 
-/// A call without an answer.
+/// Call that has not been answered yet.
 struct PendingResponse {
-    /// Where the response goes.
+    /// Channel to the connection that waits for the response.
     to: Sender<Vec<u8>>,
+    /// `true` for a keep-alive of a lease, for which an expired lease has a status of its own.
     is_keep_alive: bool,
 }
 
-/// Three controllers as processes of their own.
+/// Controllers as separate processes.
 pub struct ProcessControllers {
     started: Instant,
     directory: PathBuf,
     addresses: Vec<Addresses>,
     processes: Vec<ControllerProcess>,
-    /// The links between controllers, by both ends.
+    /// Links between controllers, by the indices of the sender and the receiver.
     links: HashMap<(usize, usize), Link>,
     calls: Receiver<IncomingCall>,
     last_call: u64,
-    /// The calls that have no answer yet.
+    /// Calls that have not been answered yet.
     responses: HashMap<OutboundCallId, PendingResponse>,
     clients: Clients,
-    /// Which controller each open request was sent to.
+    /// Controllers to which the open requests were sent, by request number.
     requests: HashMap<u64, usize>,
     workers_port: u16,
 }
 
-/// Returns an address that stays free between two processes that listen there. The system gives none of these ports to
-/// outgoing connections.
+/// Returns a free loopback address. Its port stays free while a controller restarts, because the system does not assign
+/// ports of this range to outgoing connections.
 fn free_address() -> SocketAddrV4 {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     loop {
@@ -86,7 +87,7 @@
 }
 
 impl ProcessControllers {
-    /// Prepares everything but starts no process yet.
+    /// Creates the links, servers and settings files. Starts no process.
     pub fn new(seed: u64) -> ProcessControllers {
         let directory = std::env::temp_dir().join(format!("crowstall-soak-{}-{seed}", std::process::id()));
         std::fs::create_dir_all(&directory).expect("the directory for temporary files is writable");
@@ -129,12 +130,14 @@
         }
     }
 
-    /// Where a worker takes direct commands: all at one port, each at an address of its own.
+    /// Returns the address at which a worker accepts direct commands. All workers share a port, and each has an IP
+    /// address of its own.
     fn worker_address(&self, machine: u32) -> SocketAddrV4 {
         let [_, high, middle, low] = machine.to_be_bytes();
         SocketAddrV4::new(Ipv4Addr::new(127, 1 + high, middle, low), self.workers_port)
     }
 
+    /// Parses a call and registers it for the response. Returns `None` if the call is invalid.
     fn message_of(&mut self, incoming: IncomingCall) -> Option<RemoteMessage> {
         let IncomingCall { service, addr, request, response } = incoming;
         self.last_call += 1;
@@ -159,15 +162,15 @@
         Some(message)
     }
 
-    /// Panics if a process has ended without having been killed.
+    /// Panics if a process has exited without having been killed.
     fn check_processes(&mut self) {
         for (node, process) in self.processes.iter_mut().enumerate() {
             let status = process.child.as_mut().and_then(|child| child.try_wait().ok().flatten());
-            assert!(status.is_none(), "controller {node} has ended by itself: {status:?}");
+            assert!(status.is_none(), "controller {node} exited without having been killed: {status:?}");
         }
     }
 
-    /// Has stopped processes go on whose time has come.
+    /// Resumes the suspended processes whose suspension is over.
     fn resume_processes(&mut self) {
         let now = Instant::now();
         for process in &mut self.processes {
@@ -184,7 +187,7 @@
         if let Some(child) = &self.child {
             let command = format!("kill -{signal} {}", child.id());
             let status = Command::new("sh").args(["-c", &command]).status();
-            assert!(status.is_ok_and(|status| status.success()), "{command} has failed");
+            assert!(status.is_ok_and(|status| status.success()), "{command} failed");
         }
     }
 
@@ -197,14 +200,14 @@
     }
 }
 
-/// Returns the arguments with which `deploy/service.toml` starts a controller, up to the path of the settings.
+/// Returns the arguments of a controller in `deploy/service.toml`, without the path of the settings file at the end.
 fn arguments() -> Vec<String> {
     let text = include_str!("../../deploy/service.toml");
     let run = text.lines().find_map(|line| line.strip_prefix("run = ")).expect("the file says how to run");
     run.trim_matches('"').split_whitespace().skip(1).map(str::to_string).collect()
 }
 
-/// Returns the platform's file for one controller.
+/// Returns the platform's settings file for one controller.
 fn platform_file(
     node: usize,
     addresses: &[Addresses],
--- a/tests/soak/services.rs
+++ b/tests/soak/services.rs
@@ -1,6 +1,6 @@
 //! HTTP servers for the controllers' calls to the state service, the cloud and the workers.
 //!
-//! Each connection has a thread that reads one request at a time, passes it on and waits for the response.
+//! Each connection has a thread that reads one request at a time, passes the request on and waits for the response.
 
 use crowstall::transport::http::{self, Parsed, Request};
 use std::io::{Read, Write};
@@ -8,35 +8,37 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::time::Duration;
 
-/// How long a connection may be idle.
+/// Time after which an idle connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
-/// How long a response may take. Controllers wait for less, and give their connection up then.
+/// Time after which a connection without a response is closed. Controllers wait for less time and then close the
+/// connection themselves.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// The service that a server stands for.
+/// Service whose calls a server accepts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Service {
-    /// The state service as one controller reaches it.
+    /// State service, for the calls of one controller.
     State { node: usize },
-    /// The cloud as one controller reaches it.
+    /// Cloud, for the calls of one controller.
     Cloud { node: usize },
-    /// All workers. Each has an address of its own.
+    /// All workers, which share a port and have different IP addresses.
     Workers,
 }
 
-/// A call that has arrived.
+/// Call that has arrived at a server.
 pub struct IncomingCall {
-    /// The service that was called.
+    /// Called service.
     pub service: Service,
-    /// The address at which the call has arrived.
+    /// Address at which the call has arrived, which identifies a worker.
     pub addr: SocketAddrV4,
-    /// The call.
+    /// Request of the controller.
     pub request: Request,
-    /// Where the response goes. The connection is closed if this is dropped without one.
+    /// Channel for the response. The connection is closed if the channel is dropped without a response.
     pub response: Sender<Vec<u8>>,
 }
 
-/// Listens at an address and passes on what arrives, until the process ends.
+/// Listens at an address until the process ends, and passes on the calls that arrive. Returns the address with the
+/// actual port.
 pub fn serve(service: Service, addr: &str, calls: Sender<IncomingCall>) -> SocketAddrV4 {
     let listener = TcpListener::bind(addr).expect("loopback addresses are free");
     let local = v4(listener.local_addr().expect("a listener has an address"));
@@ -45,7 +47,7 @@
             let calls = calls.clone();
             match stream {
                 Ok(stream) => _ = std::thread::spawn(move || serve_connection(service, stream, &calls)),
-                Err(error) => eprintln!("the test cannot accept a connection to {service:?}: {error}"),
+                Err(error) => eprintln!("the soak test cannot accept a connection to {service:?}: {error}"),
             }
         }
     });
--- a/tests/soak/wire.rs
+++ b/tests/soak/wire.rs
@@ -1,5 +1,5 @@
-//! The protocol from the side of the services, workers and users: parses what controllers send, and writes what they
-//! read.
+//! Wire formats as the services, workers and users see them: parses the calls of controllers, and writes responses and
+//! requests to controllers.
 
 use crowstall::coordination::Event;
 use crowstall::model::*;
@@ -11,22 +11,24 @@
 use serde_json::{Value, json};
 use std::net::SocketAddrV4;
 
-/// The prefixes by which controllers list and watch keys.
+/// Prefixes with which controllers list and watch keys.
 const PREFIXES: [&str; 5] = ["shard/", "live/", "machine/", "end/", "forecast/"];
 
-/// A response: its status and body.
+/// Status and body of a response.
 pub type WireResponse = (u16, Value);
 
-/// Returns the value of a parameter of a path's query.
+/// Returns the value of a parameter in the query of a path.
 fn parameter<'a>(path: &'a str, name: &str) -> Option<&'a str> {
     let query = path.split_once('?')?.1;
     query.split('&').filter_map(|pair| pair.split_once('=')).find(|(key, _)| *key == name).map(|(_, value)| value)
 }
 
+/// Returns a string value, or an empty string if the value has another type.
 fn text(value: &Value) -> String {
     value.as_str().unwrap_or_default().to_string()
 }
 
+/// Returns the elements of an array, or none if the value has another type.
 fn items(value: &Value) -> impl Iterator<Item = &Value> {
     value.as_array().into_iter().flatten()
 }
@@ -94,7 +96,7 @@
     }
 }
 
-/// Parses commands to a worker.
+/// Parses a call to a worker.
 pub fn parse_worker_call(body: &[u8]) -> Option<WorkerCall> {
     let body: Value = serde_json::from_slice(body).ok()?;
     Some(WorkerCall {
@@ -115,8 +117,8 @@
     }
 }
 
-/// Returns the response to a call whose answer reaches the controller. None: there is no response. A keep-alive of an
-/// expired lease and a transaction that names one have different statuses.
+/// Returns the response to a call, or `None` if the call gets no response. An expired lease is reported with different
+/// statuses to a keep-alive and to a transaction.
 pub fn response(event: &Event, is_keep_alive: bool) -> Option<WireResponse> {
     match event {
         Event::State { answer: Ok(StateAnswer::LeaseExpired), .. } if is_keep_alive => Some((404, json!({}))),
@@ -249,11 +251,11 @@
         "awaits": spec.prerequisites})
 }
 
-/// A request to a controller: method, path and body.
+/// Method, path and body of a request to a controller.
 pub type WireRequest = (&'static str, String, Option<Value>);
 
-/// Returns the request of a user or a worker; `worker_addr` is where that worker takes commands. None if the
-/// simulation holds the request in a form that cannot be written back.
+/// Returns the HTTP request of a user or a worker. `worker_addr` returns the address at which a worker accepts
+/// commands. Returns `None` for requests whose simulated form does not contain the original text.
 pub fn client_request(
     request: &ClientRequest,
     worker_addr: impl Fn(&MachineId) -> SocketAddrV4,
