--- a/tests/fault_combinations/disabled_safeguards.rs
+++ b/tests/fault_combinations/disabled_safeguards.rs
@@ -10,19 +10,19 @@
 const TEN_FAILOVERS: &str = "ten failovers in two minutes, and an outage";
 
 /// Returns `true` if a run of one of 30 seeds without a safeguard satisfies `is_violation`.
-fn is_noticed(disabled: DisabledSafeguard, name: &str, is_violation: impl Fn(&Simulation) -> bool) -> bool {
+fn is_detected(disabled: DisabledSafeguard, name: &str, is_violation: impl Fn(&Simulation) -> bool) -> bool {
     let combinations: [&FaultCombination; 1] = [fault_combination(name)];
     (0..30).any(|seed| is_violation(&run_with(seed, disabled, &combinations)))
 }
 
 /// Returns `true` if a run of one of 30 seeds without a safeguard violates a rule.
 fn violates(disabled: DisabledSafeguard, name: &str, rule: Rule) -> bool {
-    is_noticed(disabled, name, |simulation| simulation.violates(&[rule]))
+    is_detected(disabled, name, |simulation| simulation.violates(&[rule]))
 }
 
 /// Returns `true` if a team exceeds its quota in a run of one of 30 seeds without a safeguard.
 fn exceeds_quota(disabled: DisabledSafeguard, name: &str, team: &str) -> bool {
-    is_noticed(disabled, name, |simulation| {
+    is_detected(disabled, name, |simulation| {
         let mut violations = simulation.violations.iter();
         violations.any(|violation| violation.rule == Rule::Quota && violation.detail.contains(team))
     })
--- a/tests/fault_combinations/machine_failures.rs
+++ b/tests/fault_combinations/machine_failures.rs
@@ -36,7 +36,7 @@
             simulation.isolate(Endpoint::Machine(machine), until, DELAY_PACKETS);
         }
     }
-    refuse_deletes_perhaps(simulation, until);
+    maybe_refuse_deletes(simulation, until);
     simulation.run_for_random(0..4 * SEC);
     fail_leader(simulation);
 }
@@ -46,7 +46,7 @@
     let until = simulation.now + simulation.rng.random_range(SEC..45 * SEC);
     let machines = simulation.cancel_running_jobs(14);
     let machines_hang = simulation.rng.random_bool(0.5);
-    refuse_deletes_perhaps(simulation, until);
+    maybe_refuse_deletes(simulation, until);
     if machines_hang {
         simulation.hang_machines(&machines, until);
     } else {
@@ -60,7 +60,7 @@
 
 /// With a probability of one half, makes the cloud refuse to delete machines until `until`. Otherwise a deletion could
 /// end the tasks on unreachable machines.
-fn refuse_deletes_perhaps(simulation: &mut Simulation, until: u64) {
+fn maybe_refuse_deletes(simulation: &mut Simulation, until: u64) {
     simulation.cloud.deletes_refused_until = if simulation.rng.random_bool(0.5) { until } else { 0 };
 }
 
--- a/tests/fault_combinations/runner.rs
+++ b/tests/fault_combinations/runner.rs
@@ -94,7 +94,7 @@
 }
 
 /// Runs a seed with its fault combinations. Returns the measurements, and a description of the failure if there is one.
-fn run_day(seed: u64) -> (Summary, Option<String>) {
+fn run_seed(seed: u64) -> (Summary, Option<String>) {
     let combinations = combinations_of(seed);
     let simulation = run_with(seed, DisabledSafeguard::None, &combinations);
     let names: Vec<&str> = combinations.iter().map(|combination| combination.name).collect();
@@ -140,13 +140,14 @@
         self.delayed_commits_applied += other.delayed_commits_applied;
     }
 
-    fn print(&mut self, days: u64) {
+    fn print(&mut self, runs: u64) {
         let observations = &mut self.observations;
         observations.cancellation_latencies.sort();
         let latencies = &observations.cancellation_latencies;
-        let quantile =
-            |share: f64| latencies.get((latencies.len() as f64 * share) as usize).map_or(0, |latency| latency / MS);
-        println!("{days} days");
+        let quantile = |fraction: f64| {
+            latencies.get((latencies.len() as f64 * fraction) as usize).map_or(0, |latency| latency / MS)
+        };
+        println!("{runs} runs");
         println!(
             "{} cancellations: median {} ms, 95% {} ms, longest {} ms",
             latencies.len(),
@@ -172,26 +173,26 @@
 #[test]
 fn safety_rules_hold_when_two_fault_combinations_occur() {
     let seeds = seeds();
-    let days = seeds.end - seeds.start;
+    let runs = seeds.end - seeds.start;
     let mut summary = Summary::default();
     let mut failures = Vec::new();
     // Runs are independent of each other, so each processor executes a part of them.
-    let threads = std::thread::available_parallelism().map_or(1, |count| count.get() as u64).min(days.max(1));
+    let threads = std::thread::available_parallelism().map_or(1, |count| count.get() as u64).min(runs.max(1));
     std::thread::scope(|scope| {
         let part = |first: u64| seeds.clone().skip(first as usize).step_by(threads as usize);
         let handles: Vec<_> =
-            (0..threads).map(|first| scope.spawn(move || part(first).map(run_day).collect::<Vec<_>>())).collect();
+            (0..threads).map(|first| scope.spawn(move || part(first).map(run_seed).collect::<Vec<_>>())).collect();
         for handle in handles {
-            for (day, failure) in handle.join().expect("a day does not panic") {
+            for (run, failure) in handle.join().expect("a run does not panic") {
                 failures.extend(failure);
-                summary.add(day);
+                summary.add(run);
             }
         }
     });
     failures.sort();
-    assert!(failures.is_empty(), "{} of {days} days:\n{}", failures.len(), failures.join("\n"));
-    summary.print(days);
-    if days >= 96 {
+    assert!(failures.is_empty(), "{} of {runs} runs:\n{}", failures.len(), failures.join("\n"));
+    summary.print(runs);
+    if runs >= 96 {
         assert!(summary.delayed_commits_applied > 0, "no delayed transaction was applied");
         let ConsistencyChecks { sent, deferred } = summary.observations.consistency_checks;
         assert!(sent > 1000, "only {sent} consistency checks");
--- a/tests/simulation/assertions.rs
+++ b/tests/simulation/assertions.rs
@@ -37,9 +37,9 @@
         let open: Vec<&JobId> = (0..self.users.len())
             .filter(|user| {
                 let state = &self.users[*user];
-                let is_withdrawn =
+                let is_cancelled =
                     state.cancelled_at.is_some() || state.abandoned || self.cancelled_prerequisite(*user).is_some();
-                state.accepted_at.is_some() && state.done_at.is_none() && !is_withdrawn
+                state.accepted_at.is_some() && state.done_at.is_none() && !is_cancelled
             })
             .map(|user| &self.users[user].spec.id)
             .collect();
--- a/tests/simulation/checker.rs
+++ b/tests/simulation/checker.rs
@@ -117,13 +117,13 @@
         let Some(user) = self.users.iter().position(|user| user.spec.id == task.job) else {
             return self.record_violation(Rule::Invented, format!("{task} was started"));
         };
-        self.check_start_is_wanted(machine, task, commanded_at, user);
-        self.check_start_is_exclusive(machine, task);
+        self.check_start_is_allowed(machine, task, commanded_at, user);
+        self.check_no_other_attempt_runs(machine, task);
         self.check_placement(machine, task, user);
     }
 
     /// Checks that the job has not been cancelled for too long and that its prerequisites are done.
-    fn check_start_is_wanted(&mut self, machine: u32, task: &TaskId, commanded_at: u64, user: usize) {
+    fn check_start_is_allowed(&mut self, machine: u32, task: &TaskId, commanded_at: u64, user: usize) {
         if let Some(cancelled_at) = self.users[user].cancelled_at {
             let starts = &mut self.observations.starts_after_cancellation;
             if commanded_at > cancelled_at {
@@ -143,7 +143,7 @@
     }
 
     /// Checks that no other machine runs the task.
-    fn check_start_is_exclusive(&mut self, machine: u32, task: &TaskId) {
+    fn check_no_other_attempt_runs(&mut self, machine: u32, task: &TaskId) {
         let mut others = self.workers.values().filter(|worker| worker.number != machine);
         let runs_task = |worker: &&Worker| {
             worker.tasks.iter().any(|((other, _), running)| other == task && running.occupies_machine())
--- a/tests/simulation/cloud.rs
+++ b/tests/simulation/cloud.rs
@@ -66,7 +66,7 @@
 
 /// Returns all machine types, including the one with GPUs.
 pub fn machine_types() -> Vec<MachineType> {
-    let kind = |name: &str, cpus: f64, price: f64, spot_price: f64| MachineType {
+    let machine_type = |name: &str, cpus: f64, price: f64, spot_price: f64| MachineType {
         name: Name::new(name),
         room: Resources { cpus: Quantity::new(cpus), gpus: Quantity::new(0.0), memory: Quantity::new(cpus * 2.0) },
         cache_gb: 20.0,
@@ -76,9 +76,9 @@
         boot: Span::millis(5000),
         zones: vec![Name::new("east"), Name::new("west")],
     };
-    let mut gpus = kind("gpus", 16.0, 3.0, 1.5);
+    let mut gpus = machine_type("gpus", 16.0, 3.0, 1.5);
     gpus.room.gpus = Quantity::new(4.0);
-    vec![kind("small", 4.0, 0.25, 0.1), kind("large", 16.0, 0.9, 0.45), gpus]
+    vec![machine_type("small", 4.0, 0.25, 0.1), machine_type("large", 16.0, 0.9, 0.45), gpus]
 }
 
 impl Simulation {
@@ -123,7 +123,7 @@
 
     fn offered_machine_types(&self) -> Vec<MachineType> {
         let mut types = machine_types();
-        types.retain(|kind| self.cloud.offers_gpus || kind.room.gpus.0 == 0);
+        types.retain(|machine_type| self.cloud.offers_gpus || machine_type.room.gpus.0 == 0);
         types
     }
 
--- a/tests/simulation/controllers.rs
+++ b/tests/simulation/controllers.rs
@@ -159,11 +159,11 @@
     /// Returns the reply of a controller, or `None` if the controller has to make a call first.
     pub fn immediate_reply(&mut self, node: usize, request: ClientRequest) -> Option<Reply> {
         let clock = self.clock(node);
-        let asked = ClientRequestId(u64::MAX);
+        let request_id = ClientRequestId(u64::MAX);
         let process = self.controllers[node].process.as_mut()?;
-        let actions = process.handle(clock, Event::ClientRequest { id: asked, client_request: request });
+        let actions = process.handle(clock, Event::ClientRequest { id: request_id, client_request: request });
         actions.into_iter().find_map(|action| match action {
-            Action::Reply { id, reply } if id == asked => Some(reply),
+            Action::Reply { id, reply } if id == request_id => Some(reply),
             _ => None,
         })
     }
@@ -273,10 +273,12 @@
 
     pub(super) fn reply_arrives(&mut self, origin: RequestOrigin, node: usize, reply: &Reply) {
         match origin {
-            RequestOrigin::User { user, request_number } => self.user_answered(user, request_number, reply),
-            RequestOrigin::Worker { machine, heartbeat } => self.heartbeat_answered(machine, heartbeat, node, reply),
+            RequestOrigin::User { user, request_number } => self.handle_user_reply(user, request_number, reply),
+            RequestOrigin::Worker { machine, heartbeat } => {
+                self.handle_heartbeat_reply(machine, heartbeat, node, reply);
+            }
             RequestOrigin::MalformedRequest { job, expected } => {
-                self.malformed_request_answered(&job, expected, reply);
+                self.check_malformed_request_reply(&job, expected, reply);
             }
         }
     }
@@ -319,12 +321,12 @@
             if let Some(digest) = &mut self.digest {
                 digest.action(node, &action);
             }
-            self.perform(node, action);
+            self.execute_action(node, action);
         }
     }
 
     /// Carries out an action of a controller.
-    fn perform(&mut self, node: usize, action: Action) {
+    fn execute_action(&mut self, node: usize, action: Action) {
         let incarnation = self.controllers[node].incarnation;
         let from = Endpoint::Controller(node);
         match action {
--- a/tests/simulation/events.rs
+++ b/tests/simulation/events.rs
@@ -151,7 +151,9 @@
                 self.schedule(self.now + WORKERS_STEP, ScheduledEvent::WorkersStep);
             }
             ScheduledEvent::UserStep { user } => self.step_user(user),
-            ScheduledEvent::ConsistencyCheck { user, node, request } => self.check_consistency(user, node, request),
+            ScheduledEvent::ConsistencyCheck { user, node, request } => {
+                self.send_consistency_check(user, node, request);
+            }
             ScheduledEvent::MalformedRequest { node } => self.send_malformed_request(node),
             ScheduledEvent::LeaseExpiry => {
                 self.state_service.expire_leases(self.now);
--- a/tests/simulation/faults.rs
+++ b/tests/simulation/faults.rs
@@ -100,7 +100,7 @@
             26 => self.delay_commits_until(until),
             27 => self.slow_down_answers_until(until),
             28 => self.state_service.unanswered_controller = Some(TemporaryFault::new(now + duration / 4, node)),
-            29 => self.refuse_one_controller_and_then_all(node, duration),
+            29 => self.refuse_one_controller_before_outage(node, duration),
             _ => self.request_storm_until = until,
         }
         self.partitions.retain(|partition| partition.until > now);
@@ -162,8 +162,8 @@
     /// Draws a factor on the boot times of each zone: machines boot fast, normally, late or never.
     fn change_boot_times(&mut self) {
         let factors = [Some(0.05), Some(3.0), Some(8.0), None, Some(1.0)];
-        let mut any = || factors[self.rng.random_range(0..factors.len())];
-        self.cloud.boot_time_factors = Some([any(), any()]);
+        let mut random_factor = || factors[self.rng.random_range(0..factors.len())];
+        self.cloud.boot_time_factors = Some([random_factor(), random_factor()]);
     }
 
     /// Drops all answers and commands to a machine, or to all machines of its zone.
@@ -197,10 +197,10 @@
     }
 
     /// Makes the state service refuse one controller, and all of them some seconds later.
-    fn refuse_one_controller_and_then_all(&mut self, node: usize, outage: u64) {
-        let alone_for = self.rng.random_range(300 * MS..5 * SEC);
-        self.state_service.refused_until[node] = self.now + alone_for + SEC;
-        self.run_for(alone_for);
+    fn refuse_one_controller_before_outage(&mut self, node: usize, outage: u64) {
+        let refused_alone_for = self.rng.random_range(300 * MS..5 * SEC);
+        self.state_service.refused_until[node] = self.now + refused_alone_for + SEC;
+        self.run_for(refused_alone_for);
         self.state_service.start_outage(self.now, outage);
     }
 
--- a/tests/simulation/malformed_requests.rs
+++ b/tests/simulation/malformed_requests.rs
@@ -121,7 +121,7 @@
     }
 
     /// Checks the reply to an invalid submission, and that the job was not recorded.
-    pub(super) fn malformed_request_answered(&mut self, job: &JobId, expected: Rejection, reply: &Reply) {
+    pub(super) fn check_malformed_request_reply(&mut self, job: &JobId, expected: Rejection, reply: &Reply) {
         self.observations.malformed_requests.answered += 1;
         match reply.status {
             status if status == expected.status() => self.observations.malformed_requests.rejected += 1,
--- a/tests/simulation/settings.rs
+++ b/tests/simulation/settings.rs
@@ -90,6 +90,6 @@
     let standby = include_str!("../../deploy/standby.properties");
     // The node lease is set explicitly because its default is derived from the worker lease, which a test may shorten.
     // If a key occurs more than once, the last value applies.
-    let own = format!("claim.life.ms=4000\nshards.for-teams={shards}\n{recovery}\n{standby}\n{properties}");
-    Settings::parse(text, Some(&own)).expect("the test's settings are valid")
+    let all_properties = format!("claim.life.ms=4000\nshards.for-teams={shards}\n{recovery}\n{standby}\n{properties}");
+    Settings::parse(text, Some(&all_properties)).expect("the test's settings are valid")
 }
--- a/tests/simulation/state_service.rs
+++ b/tests/simulation/state_service.rs
@@ -62,13 +62,13 @@
 #[derive(Default)]
 struct WriteCount {
     second: u64,
-    writes: usize,
+    count: usize,
 }
 
 /// Earlier state of the shards' keys, which one controller gets when it lists them.
 struct StaleListing {
     /// Controller that gets the stale listing.
-    shown_to: usize,
+    controller: usize,
     entries: Vec<Entry>,
 }
 
@@ -150,7 +150,7 @@
     /// Freezes the shards' keys as one controller sees them in listings.
     pub fn freeze_shard_listing(&mut self, node: usize) {
         let entries = self.keys.values().filter(|entry| entry.key.starts_with(SHARD_PREFIX)).cloned().collect();
-        self.stale_shard_listing = Some(StaleListing { shown_to: node, entries });
+        self.stale_shard_listing = Some(StaleListing { controller: node, entries });
     }
 }
 
@@ -263,10 +263,10 @@
     fn check_write_rate(&mut self, now: u64, call: &StateCall) -> Result<(), CallError> {
         let second = now / SEC;
         if self.writes.second != second {
-            self.writes = WriteCount { second, writes: 0 };
+            self.writes = WriteCount { second, count: 0 };
         }
-        self.writes.writes += call.writes();
-        if self.writes.writes > self.request_limits.writes_per_second {
+        self.writes.count += call.writes();
+        if self.writes.count > self.request_limits.writes_per_second {
             self.over_limit += 1;
             return Err(CallError::Refused { over_limit: true });
         }
@@ -304,7 +304,7 @@
     fn list(&self, node: usize, prefix: &str, after: Option<&str>) -> StateAnswer {
         let revision = Revision(self.revision);
         let stale = self.stale_shard_listing.as_ref();
-        if let Some(stale) = stale.filter(|stale| stale.shown_to == node && prefix == SHARD_PREFIX) {
+        if let Some(stale) = stale.filter(|stale| stale.controller == node && prefix == SHARD_PREFIX) {
             return StateAnswer::Page { entries: stale.entries.clone(), more: false, revision };
         }
         let is_listed =
--- a/tests/simulation/user_answers.rs
+++ b/tests/simulation/user_answers.rs
@@ -12,7 +12,7 @@
 
 impl Simulation {
     /// Checks the reply to a user and records the reported state.
-    pub(super) fn user_answered(&mut self, index: usize, request_number: u64, reply: &Reply) {
+    pub(super) fn handle_user_reply(&mut self, index: usize, request_number: u64, reply: &Reply) {
         let now = self.now;
         let user = &mut self.users[index];
         let open = user.open_requests.remove(&request_number);
@@ -31,7 +31,7 @@
             self.schedule_consistency_checks(index, true);
         }
         let body: serde_json::Value = serde_json::from_str(&reply.body).unwrap_or_default();
-        self.job_state_told(index, sent_at, body["mood"].as_str().unwrap_or_default());
+        self.check_reported_state(index, sent_at, body["mood"].as_str().unwrap_or_default());
     }
 
     /// Checks the status of a reply. Returns `true` if the reply contains the job's state.
@@ -58,11 +58,11 @@
     }
 
     /// Checks the state reported to a user and records it.
-    fn job_state_told(&mut self, index: usize, sent_at: u64, state: &str) {
+    fn check_reported_state(&mut self, index: usize, sent_at: u64, state: &str) {
         let user = &self.users[index];
         let done = user.done_at.map(|at| (job_state::DONE, at));
-        let known_end = done.or(user.cancelled_at.map(|at| (job_state::CANCELLED, at)));
-        if let Some((known_state, told_at)) = known_end
+        let known_final_state = done.or(user.cancelled_at.map(|at| (job_state::CANCELLED, at)));
+        if let Some((known_state, told_at)) = known_final_state
             && state != known_state
         {
             // The answer to a request sent before that report may be older, but must not contain another final state.
@@ -74,13 +74,13 @@
             return;
         }
         match state {
-            job_state::DONE => self.job_is_done(index, known_end.is_none()),
-            job_state::CANCELLED => self.job_is_cancelled(index, known_end.is_none()),
-            _ => self.job_is_live(index, state),
+            job_state::DONE => self.check_reported_done(index, known_final_state.is_none()),
+            job_state::CANCELLED => self.check_reported_cancelled(index, known_final_state.is_none()),
+            _ => self.check_reported_live(index, state),
         }
     }
 
-    fn job_is_done(&mut self, index: usize, is_new: bool) {
+    fn check_reported_done(&mut self, index: usize, is_new: bool) {
         self.users[index].done_at.get_or_insert(self.now);
         if is_new {
             self.schedule_consistency_checks(index, false);
@@ -91,7 +91,7 @@
         }
     }
 
-    fn job_is_cancelled(&mut self, index: usize, is_new: bool) {
+    fn check_reported_cancelled(&mut self, index: usize, is_new: bool) {
         let now = self.now;
         let user = &mut self.users[index];
         let was_requested = user.cancel_requested;
@@ -109,7 +109,7 @@
         }
     }
 
-    fn job_is_live(&mut self, index: usize, state: &str) {
+    fn check_reported_live(&mut self, index: usize, state: &str) {
         let Some((prerequisite, cancelled_at)) = self.cancelled_prerequisite(index) else { return };
         let user = &self.users[index];
         let from = cancelled_at.max(user.accepted_at.unwrap_or(self.now));
--- a/tests/simulation/user_requests.rs
+++ b/tests/simulation/user_requests.rs
@@ -18,11 +18,11 @@
 impl Simulation {
     /// Chooses and sends the next request of a user, and schedules the one after it.
     pub(super) fn step_user(&mut self, user: usize) {
-        let roll: u32 = self.rng.random_range(0..100);
+        let random_percent: u32 = self.rng.random_range(0..100);
         if self.users[user].abandoned || self.is_unanswered_for_too_long(user) || !self.may_submit(user) {
             return;
         }
-        let Some((request, pause)) = self.choose_request(user, roll) else { return };
+        let Some((request, pause)) = self.choose_request(user, random_percent) else { return };
         let speed = self.request_rate_factor();
         let next = self.now + pause + self.rng.random_range(0..SEC / speed);
         self.schedule(next, ScheduledEvent::UserStep { user });
@@ -75,7 +75,7 @@
     }
 
     /// Returns the user's next request and the pause after it, or `None` if the user gives up.
-    fn choose_request(&mut self, user: usize, roll: u32) -> Option<(UserRequest, u64)> {
+    fn choose_request(&mut self, user: usize, random_percent: u32) -> Option<(UserRequest, u64)> {
         let (now, speed) = (self.now, self.request_rate_factor());
         let user = &mut self.users[user];
         let is_over = user.is_over();
@@ -87,7 +87,7 @@
             return Some((UserRequest::Submit, SEC));
         }
         // A repeated submission may arrive late, even after the job has ended.
-        if roll < 8 {
+        if random_percent < 8 {
             return Some((UserRequest::Submit, 2 * SEC));
         }
         let wants_to_cancel =
@@ -95,7 +95,7 @@
         if !is_over && wants_to_cancel {
             return Some((UserRequest::Cancel, SEC));
         }
-        if roll >= 97 {
+        if random_percent >= 97 {
             return Some((UserRequest::PollUnknownJob, SEC));
         }
         Some((UserRequest::Poll, if is_over { 9 * SEC } else { 3 * SEC } / speed))
@@ -144,7 +144,7 @@
     }
 
     /// Makes some users send requests at the moment at which the last task of their job completes.
-    pub(super) fn task_completed(&mut self, job: &JobId) {
+    pub(super) fn schedule_requests_at_completion(&mut self, job: &JobId) {
         let fault = self.requests_at_completion;
         let Some(probability) = fault.and_then(|fault| fault.active(self.now)) else { return };
         let Some(user) = self.users.iter().position(|user| user.spec.id == *job) else { return };
@@ -165,12 +165,12 @@
     /// these jobs.
     pub fn cancel_running_jobs(&mut self, count: usize) -> Vec<u32> {
         let running: Vec<usize> = (0..self.users.len())
-            .filter(|user| !self.users[*user].is_over() && !self.machines_with(*user).is_empty())
+            .filter(|user| !self.users[*user].is_over() && !self.machines_with_tasks_of(*user).is_empty())
             .take(count)
             .collect();
         let mut machines = Vec::new();
         for user in running {
-            machines.extend(self.machines_with(user));
+            machines.extend(self.machines_with_tasks_of(user));
             let node = self.rng.random_range(0..CONTROLLERS);
             let delay = self.rng.random_range(0..200 * MS);
             let request = UserRequest::Cancel;
@@ -182,7 +182,7 @@
     }
 
     /// Returns the machines that have tasks of a user's job.
-    fn machines_with(&self, user: usize) -> Vec<u32> {
+    fn machines_with_tasks_of(&self, user: usize) -> Vec<u32> {
         let job = &self.users[user].spec.id;
         self.machines_where(|worker| worker.has_task_of(job))
     }
@@ -208,7 +208,7 @@
     }
 
     /// Sends a request of a user to a particular controller, if that is running.
-    pub(super) fn check_consistency(&mut self, user: usize, node: usize, request: UserRequest) {
+    pub(super) fn send_consistency_check(&mut self, user: usize, node: usize, request: UserRequest) {
         if self.is_up(node) {
             self.observations.consistency_checks.sent += 1;
             self.send_user_request(user, node, request);
--- a/tests/simulation/worker_commands.rs
+++ b/tests/simulation/worker_commands.rs
@@ -45,7 +45,7 @@
     }
 
     /// Handles the answer to a heartbeat.
-    pub(super) fn heartbeat_answered(&mut self, number: u32, sequence_number: u64, node: usize, reply: &Reply) {
+    pub(super) fn handle_heartbeat_reply(&mut self, number: u32, sequence_number: u64, node: usize, reply: &Reply) {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(&number) else { return };
         let Some(heartbeat) =
@@ -65,40 +65,42 @@
         }
         worker.heartbeat_in_flight = None;
         if now - heartbeat.sent_at > HEARTBEAT_TIMEOUT {
-            return worker.turn_to_next(now);
+            return worker.switch_to_next_controller(now);
         }
         let body: Value = serde_json::from_str(&reply.body).unwrap_or_default();
         match reply.status {
-            200 if heartbeat.epoch == worker.epoch => self.lease_renewed(number, heartbeat.sent_at, &body),
+            200 if heartbeat.epoch == worker.epoch => self.handle_lease_renewal(number, heartbeat.sent_at, &body),
             200 => {}
-            421 if body["rookery"].is_string() => self.heartbeat_redirected(number, node, &body),
-            _ => worker.turn_to_next_after(node, now),
+            421 if body["rookery"].is_string() => self.handle_redirect(number, node, &body),
+            _ => worker.switch_to_controller_after(node, now),
         }
     }
 
     /// Renews the worker lease and executes the commands in the answer, unless the answer has an older fencing token
     /// than the worker and therefore comes from a deposed leader.
-    fn lease_renewed(&mut self, number: u32, sent_at: u64, body: &Value) {
+    fn handle_lease_renewal(&mut self, number: u32, sent_at: u64, body: &Value) {
         let Some(worker) = self.workers.get_mut(&number) else { return };
         let Some(token) = body["crest"].as_u64().filter(|token| *token >= worker.token) else { return };
         if token > worker.token {
             worker.token = token;
             worker.changed = true;
         }
-        worker.lease_from = Some(sent_at);
+        worker.lease_started_at = Some(sent_at);
         let commands = body["calls"].as_array().cloned().unwrap_or_default();
         self.execute_commands(number, &commands);
     }
 
     /// Sends the next heartbeat to the controller that was named in the answer.
-    fn heartbeat_redirected(&mut self, number: u32, node: usize, body: &Value) {
+    fn handle_redirect(&mut self, number: u32, node: usize, body: &Value) {
         let now = self.now;
         let label = body["rookery"].as_str().unwrap_or_default();
         let target = self.controllers.iter().position(|controller| controller.label.as_str() == label);
         let Some(worker) = self.workers.get_mut(&number) else { return };
         match target {
-            Some(target) if target != node => worker.turn_to(target, now + self.rng.random_range(0..500 * MS)),
-            _ => worker.turn_to_next_after(node, now),
+            Some(target) if target != node => {
+                worker.set_next_heartbeat(target, now + self.rng.random_range(0..500 * MS));
+            }
+            _ => worker.switch_to_controller_after(node, now),
         }
     }
 
--- a/tests/simulation/workers.rs
+++ b/tests/simulation/workers.rs
@@ -85,7 +85,7 @@
     /// Highest fencing token seen.
     pub(super) token: u64,
     /// Start of the current worker lease: the time at which the last answered heartbeat was sent.
-    pub(super) lease_from: Option<u64>,
+    pub(super) lease_started_at: Option<u64>,
     /// Attempts on the machine, by task and attempt number.
     pub tasks: BTreeMap<(TaskId, u64), RunningTask>,
     /// Controller to which heartbeats are sent.
@@ -116,7 +116,7 @@
             epoch: 1,
             sequence_number: 0,
             token: 0,
-            lease_from: None,
+            lease_started_at: None,
             tasks: BTreeMap::new(),
             node: number as usize % CONTROLLERS,
             next_heartbeat: up_at,
@@ -149,19 +149,19 @@
     }
 
     /// Sets the controller that gets the next heartbeat, and its time.
-    pub(super) fn turn_to(&mut self, node: usize, at: u64) {
+    pub(super) fn set_next_heartbeat(&mut self, node: usize, at: u64) {
         self.node = node;
         self.next_heartbeat = at;
     }
 
     /// Sends the next heartbeat to the controller that follows `node`.
-    pub(super) fn turn_to_next_after(&mut self, node: usize, now: u64) {
-        self.turn_to((node + 1) % CONTROLLERS, now + NEXT_CONTROLLER_PAUSE);
+    pub(super) fn switch_to_controller_after(&mut self, node: usize, now: u64) {
+        self.set_next_heartbeat((node + 1) % CONTROLLERS, now + NEXT_CONTROLLER_PAUSE);
     }
 
     /// Sends the next heartbeat to the controller that follows the current one.
-    pub(super) fn turn_to_next(&mut self, now: u64) {
-        self.turn_to_next_after(self.node, now);
+    pub(super) fn switch_to_next_controller(&mut self, now: u64) {
+        self.switch_to_controller_after(self.node, now);
     }
 
     /// Kills all tasks and begins a new agent epoch.
@@ -172,12 +172,14 @@
 
     /// Kills all tasks if the worker lease has expired, unless a disabled safeguard prevents it.
     fn check_lease(&mut self, now: u64, disabled: DisabledSafeguard) {
-        let lease_from = *self.lease_from.get_or_insert(self.up_at);
+        let lease_started_at = *self.lease_started_at.get_or_insert(self.up_at);
         if disabled == DisabledSafeguard::LeaseExpiryOfHungMachines && now < self.hung_until + SEC {
-            self.lease_from = Some(now);
-        } else if now.saturating_sub(lease_from) > WORKER_LEASE && disabled != DisabledSafeguard::WorkerLeaseExpiry {
+            self.lease_started_at = Some(now);
+        } else if now.saturating_sub(lease_started_at) > WORKER_LEASE
+            && disabled != DisabledSafeguard::WorkerLeaseExpiry
+        {
             self.expire_lease();
-            self.lease_from = Some(now);
+            self.lease_started_at = Some(now);
             self.changed = true;
         }
     }
@@ -196,7 +198,7 @@
                 return false;
             }
             self.heartbeat_in_flight = None;
-            self.turn_to_next(now);
+            self.switch_to_next_controller(now);
         }
         let is_time = now >= self.next_heartbeat;
         let has_change = self.changed && now >= self.last_heartbeat + 500 * MS;
@@ -236,7 +238,7 @@
         let Some(worker) = self.workers.get_mut(&number) else { return };
         worker.expire_lease();
         worker.heartbeat_in_flight = None;
-        worker.lease_from = None;
+        worker.lease_started_at = None;
         worker.up_at = worker.up_at.max(now + down_for);
         worker.next_heartbeat = now + down_for;
         if forgets_token {
@@ -328,7 +330,7 @@
             return;
         }
         if now < worker.heartbeats_blocked_until {
-            return worker.turn_to_next(now);
+            return worker.switch_to_next_controller(now);
         }
         self.send_heartbeat(number);
     }
@@ -356,7 +358,7 @@
         if !is_up {
             // A crashed controller refuses the connection immediately.
             worker.heartbeat_in_flight = None;
-            return worker.turn_to_next_after(node, now);
+            return worker.switch_to_controller_after(node, now);
         }
         if let Some(at) = arrival {
             let origin = RequestOrigin::Worker { machine: number, heartbeat: sequence_number };
@@ -393,7 +395,7 @@
                 task.state = TaskState::Exited(exit);
                 if exit == Exit::Done {
                     self.completed.insert(id.clone());
-                    self.task_completed(&id.job);
+                    self.schedule_requests_at_completion(&id.job);
                 }
             }
             _ => {}
--- a/tests/soak/clients.rs
+++ b/tests/soak/clients.rs
@@ -11,9 +11,9 @@
 /// Number of transports that share the requests, to limit head-of-line blocking by a request without a reply.
 const TRANSPORTS: usize = 16;
 /// Maximum number of sockets of each transport.
-const SOCKETS: usize = 256;
+const SOCKETS_PER_TRANSPORT: usize = 256;
 /// Time after which a request without a reply is dropped.
-const TIMEOUT: Span = Span::millis(5000);
+const REQUEST_TIMEOUT: Span = Span::millis(5000);
 
 /// Clients for the requests to all controllers.
 pub struct Clients {
@@ -25,7 +25,7 @@
     pub fn new() -> Clients {
         let transport = |_| {
             let event_loop: EventLoop<'static, Transport> = EventLoop::try_new().expect("an event loop can be made");
-            let transport = Transport::new(event_loop.handle(), SOCKETS);
+            let transport = Transport::new(event_loop.handle(), SOCKETS_PER_TRANSPORT);
             (event_loop, transport)
         };
         Clients { transports: (0..TRANSPORTS).map(transport).collect() }
@@ -35,7 +35,7 @@
     pub fn send(&mut self, number: u64, to: SocketAddrV4, request: &OutgoingRequest<'_>) {
         let (_, transport) = &mut self.transports[number as usize % TRANSPORTS];
         transport.clock();
-        transport.call(CallId(number), to, request, TIMEOUT);
+        transport.call(CallId(number), to, request, REQUEST_TIMEOUT);
     }
 
     /// Returns the replies that have arrived, by the numbers of their requests.
--- a/tests/soak/links.rs
+++ b/tests/soak/links.rs
@@ -27,7 +27,7 @@
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let is_blocked = is_blocked.clone();
-                std::thread::spawn(move || connect(&stream, target, &is_blocked));
+                std::thread::spawn(move || forward_connection(&stream, target, &is_blocked));
             }
         });
         Link { addr, blocked }
@@ -41,7 +41,7 @@
 
 /// Forwards a connection in both directions. Frames are sent only by the client; the opposite direction is needed to
 /// pass on that the server closed the connection.
-fn connect(client: &TcpStream, target: SocketAddrV4, blocked: &Arc<AtomicBool>) {
+fn forward_connection(client: &TcpStream, target: SocketAddrV4, blocked: &Arc<AtomicBool>) {
     wait_until_open(blocked);
     let Ok(server) = TcpStream::connect(target) else { return };
     let (Ok(back_from), Ok(back_to)) = (server.try_clone(), client.try_clone()) else { return };
--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -28,7 +28,7 @@
 /// Approximate time within which the faults are injected.
 const FAULT_SPAN: u64 = 20 * SEC;
 /// Duration for which the cluster runs without faults. Longer than the time within which every user must get answers.
-const QUIET: u64 = 80 * SEC;
+const FAULT_FREE_PERIOD: u64 = 80 * SEC;
 /// Longest time for which a controller may take to report that it is ready after the period without faults.
 const READY_TIMEOUT: u64 = 10 * SEC;
 /// Seeds that run concurrently in CI.
@@ -45,7 +45,7 @@
     simulation.consistency_checks_until = 100 * SEC;
     simulation.run_with_random_faults(FAULTS, FAULT_SPAN, |_, _| {});
     simulation.end_faults();
-    simulation.run_without_faults(0, QUIET);
+    simulation.run_without_faults(0, FAULT_FREE_PERIOD);
     println!(
         "seed {seed}: {} starts, {} of {} jobs over, longest unanswered {} s, longest wait beside room {} s, {} terms",
         simulation.starts,
--- a/tests/soak/processes.rs
+++ b/tests/soak/processes.rs
@@ -25,15 +25,15 @@
 const LOG_LINES: usize = 40;
 
 /// Ports below the range from which Linux assigns ports to outgoing connections.
-const PORTS: Range<u16> = 12_000..32_000;
+const PORT_RANGE: Range<u16> = 12_000..32_000;
 /// Distance between the first ports of two test processes with consecutive process numbers.
 const PORTS_PER_PROCESS: u32 = 64;
 
 /// Addresses at which a controller listens, for clients and for other controllers.
 #[derive(Clone, Copy)]
 struct Addresses {
-    front: SocketAddrV4,
-    peers: SocketAddrV4,
+    client_addr: SocketAddrV4,
+    peer_addr: SocketAddrV4,
 }
 
 /// Controller with its files and its process, if that is running.
@@ -78,7 +78,7 @@
     loop {
         let number =
             std::process::id().wrapping_mul(PORTS_PER_PROCESS).wrapping_add(NEXT.fetch_add(1, Ordering::Relaxed));
-        let port = PORTS.start + (number % (PORTS.end - PORTS.start) as u32) as u16;
+        let port = PORT_RANGE.start + (number % (PORT_RANGE.end - PORT_RANGE.start) as u32) as u16;
         let addr = SocketAddrV4::new(Ipv4Addr::LOCALHOST, port);
         if TcpListener::bind(addr).is_ok() {
             return addr;
@@ -92,11 +92,11 @@
         let directory = std::env::temp_dir().join(format!("crowstall-soak-{}-{seed}", std::process::id()));
         std::fs::create_dir_all(&directory).expect("the directory for temporary files is writable");
         let addresses: Vec<Addresses> =
-            (0..CONTROLLERS).map(|_| Addresses { front: free_address(), peers: free_address() }).collect();
+            (0..CONTROLLERS).map(|_| Addresses { client_addr: free_address(), peer_addr: free_address() }).collect();
         let pairs = (0..CONTROLLERS).flat_map(|from| (0..CONTROLLERS).map(move |to| (from, to)));
         let links: HashMap<(usize, usize), Link> = pairs
             .filter(|(from, to)| from != to)
-            .map(|(from, to)| ((from, to), Link::to(addresses[to].peers)))
+            .map(|(from, to)| ((from, to), Link::to(addresses[to].peer_addr)))
             .collect();
         let (sender, calls) = channel();
         let workers_port = serve(Service::Workers, "0.0.0.0:0", sender.clone()).port();
@@ -138,7 +138,7 @@
     }
 
     /// Parses a call and registers it for the response. Returns `None` if the call is invalid.
-    fn message_of(&mut self, incoming: IncomingCall) -> Option<RemoteMessage> {
+    fn register_call(&mut self, incoming: IncomingCall) -> Option<RemoteMessage> {
         let IncomingCall { service, addr, request, response } = incoming;
         self.last_call += 1;
         let call = OutboundCallId(self.last_call);
@@ -215,9 +215,9 @@
     state: SocketAddrV4,
     cloud: SocketAddrV4,
 ) -> String {
-    let Addresses { front, peers } = addresses[node];
-    let mut text = settings::platform_file(&settings::controller_label(node), &front.to_string())
-        .replace("peer_bind = \"10.0.0.1:8081\"", &format!("peer_bind = \"{peers}\""))
+    let Addresses { client_addr, peer_addr } = addresses[node];
+    let mut text = settings::platform_file(&settings::controller_label(node), &client_addr.to_string())
+        .replace("peer_bind = \"10.0.0.1:8081\"", &format!("peer_bind = \"{peer_addr}\""))
         .replace("10.2.0.1:2379", &state.to_string())
         .replace("10.2.0.2:8443", &cloud.to_string());
     for to in (0..CONTROLLERS).filter(|to| *to != node) {
@@ -237,7 +237,7 @@
         self.resume_processes();
         let mut messages = Vec::new();
         while let Ok(incoming) = self.calls.try_recv() {
-            messages.extend(self.message_of(incoming));
+            messages.extend(self.register_call(incoming));
         }
         for (request, reply) in self.clients.receive() {
             if let Some(node) = self.requests.remove(&request) {
@@ -254,7 +254,7 @@
         let body = body.map(|body| body.to_string().into_bytes());
         let request = OutgoingRequest { method, path: &path, body: body.as_deref() };
         self.requests.insert(number, node);
-        self.clients.send(number, self.addresses[node].front, &request);
+        self.clients.send(number, self.addresses[node].client_addr, &request);
     }
 
     fn send_answer(&mut self, event: Event) {
--- a/tests/soak/services.rs
+++ b/tests/soak/services.rs
@@ -41,7 +41,7 @@
 /// actual port.
 pub fn serve(service: Service, addr: &str, calls: Sender<IncomingCall>) -> SocketAddrV4 {
     let listener = TcpListener::bind(addr).expect("loopback addresses are free");
-    let local = v4(listener.local_addr().expect("a listener has an address"));
+    let local = expect_ipv4(listener.local_addr().expect("a listener has an address"));
     std::thread::spawn(move || {
         for stream in listener.incoming() {
             let calls = calls.clone();
@@ -54,7 +54,7 @@
     local
 }
 
-fn v4(addr: std::net::SocketAddr) -> SocketAddrV4 {
+fn expect_ipv4(addr: std::net::SocketAddr) -> SocketAddrV4 {
     match addr {
         std::net::SocketAddr::V4(addr) => addr,
         std::net::SocketAddr::V6(addr) => panic!("{addr} is not IPv4"),
@@ -62,7 +62,7 @@
 }
 
 fn serve_connection(service: Service, mut stream: TcpStream, calls: &Sender<IncomingCall>) {
-    let Ok(addr) = stream.local_addr().map(v4) else { return };
+    let Ok(addr) = stream.local_addr().map(expect_ipv4) else { return };
     if stream.set_read_timeout(Some(IDLE_TIMEOUT)).is_err() || stream.set_nodelay(true).is_err() {
         return;
     }
--- a/tests/soak/wire.rs
+++ b/tests/soak/wire.rs
@@ -24,12 +24,12 @@
 }
 
 /// Returns a string value, or an empty string if the value has another type.
-fn text(value: &Value) -> String {
+fn string_value(value: &Value) -> String {
     value.as_str().unwrap_or_default().to_string()
 }
 
 /// Returns the elements of an array, or none if the value has another type.
-fn items(value: &Value) -> impl Iterator<Item = &Value> {
+fn array_elements(value: &Value) -> impl Iterator<Item = &Value> {
     value.as_array().into_iter().flatten()
 }
 
@@ -53,8 +53,8 @@
             Some(StateCall::Watch { prefix: prefix()?, after })
         }
         "/commit" => Some(StateCall::Commit {
-            conditions: items(&body["if"]).map(parse_condition).collect(),
-            changes: items(&body["apply"]).map(parse_change).collect(),
+            conditions: array_elements(&body["if"]).map(parse_condition).collect(),
+            changes: array_elements(&body["apply"]).map(parse_change).collect(),
         }),
         "/holds" => Some(StateCall::Grant { ttl_ms: body["life_ms"].as_u64()? }),
         _ => None,
@@ -62,15 +62,15 @@
 }
 
 fn parse_condition(condition: &Value) -> Condition {
-    Condition { key: text(&condition["k"]), version: Revision(condition["molt"].as_u64().unwrap_or_default()) }
+    Condition { key: string_value(&condition["k"]), version: Revision(condition["molt"].as_u64().unwrap_or_default()) }
 }
 
 fn parse_change(change: &Value) -> Change {
     if change["delete"].is_string() {
-        return Change::Delete(text(&change["delete"]));
+        return Change::Delete(string_value(&change["delete"]));
     }
     Change::Put {
-        key: text(&change["set"]),
+        key: string_value(&change["set"]),
         value: change["data"].clone(),
         lease: change["tenure"].as_u64().map(LeaseId),
     }
@@ -83,15 +83,15 @@
         ("GET", "/catalog") => Some(CloudCall::Catalog),
         ("GET", "/rentals") => Some(CloudCall::List { after: parameter(path, "after").map(MachineId::new) }),
         ("POST", "/rentals") => Some(CloudCall::Rent {
-            request: text(&body["bid"]),
+            request: string_value(&body["bid"]),
             kind: Name::new(body["breed"].as_str()?),
             zone: Name::new(body["roost"].as_str()?),
             spot: body["scavenged"].as_bool()?,
             count: body["number"].as_u64()? as u32,
         }),
-        ("POST", "/rentals/delete") => {
-            Some(CloudCall::Delete(items(&body["perches"]).map(|id| MachineId::new(&text(id))).collect()))
-        }
+        ("POST", "/rentals/delete") => Some(CloudCall::Delete(
+            array_elements(&body["perches"]).map(|id| MachineId::new(&string_value(id))).collect(),
+        )),
         _ => None,
     }
 }
@@ -102,7 +102,7 @@
     Some(WorkerCall {
         token: FencingToken(body["crest"].as_u64()?),
         epoch: AgentEpoch(body["sitting"].as_u64()?),
-        commands: items(&body["calls"]).filter_map(parse_command).collect(),
+        commands: array_elements(&body["calls"]).filter_map(parse_command).collect(),
     })
 }
 
@@ -187,13 +187,14 @@
     }
 }
 
-fn amount(quantity: Quantity) -> f64 {
+/// Converts a quantity to units of CPUs, GPUs or gigabytes.
+fn in_units(quantity: Quantity) -> f64 {
     quantity.0 as f64 / 1e6
 }
 
 fn machine_type_body(kind: &MachineType) -> Value {
-    json!({"label": kind.name, "cores": amount(kind.room.cpus), "gpus": amount(kind.room.gpus),
-        "ram_gb": amount(kind.room.memory), "cache_gb": kind.cache_gb, "pull_gb_per_s": kind.fetch_gb_per_s,
+    json!({"label": kind.name, "cores": in_units(kind.room.cpus), "gpus": in_units(kind.room.gpus),
+        "ram_gb": in_units(kind.room.memory), "cache_gb": kind.cache_gb, "pull_gb_per_s": kind.fetch_gb_per_s,
         "hourly": kind.price, "spot_price": kind.spot_price, "startup_s": kind.boot.as_secs(), "roosts": kind.zones})
 }
 
@@ -244,8 +245,8 @@
         Priority::BestEffort => "best_effort",
     };
     json!({"id": spec.id, "brood": spec.class, "flock": spec.team, "gait": kind, "pecking": priority,
-        "clutch": spec.tasks, "cores": amount(spec.needs.cpus), "gpus": amount(spec.needs.gpus),
-        "ram_gb": amount(spec.needs.memory), "plumage": spec.image, "image_gb": spec.image_gb, "breeds": spec.types,
+        "clutch": spec.tasks, "cores": in_units(spec.needs.cpus), "gpus": in_units(spec.needs.gpus),
+        "ram_gb": in_units(spec.needs.memory), "plumage": spec.image, "image_gb": spec.image_gb, "breeds": spec.types,
         "roost": spec.zone, "together": spec.one_zone, "spread": spec.spread, "scavenged": spec.spot,
         "flight_s": spec.estimate_s, "cache_s": spec.checkpoint_s, "stash_s": spec.save_s, "dusk_s": spec.deadline_s,
         "awaits": spec.prerequisites})
