--- a/tests/fault_combinations/runner.rs
+++ b/tests/fault_combinations/runner.rs
@@ -103,7 +103,7 @@
         let trace = simulation.trace.join("\n");
         Some(format!("seed {seed}, {names:?}: {:?}\n{trace}", simulation.violations))
     } else if !unfinished.is_empty() {
-        Some(format!("seed {seed}, {names:?}: never done: {unfinished:?}"))
+        Some(format!("seed {seed}, {names:?}: jobs that were not reported as done: {unfinished:?}"))
     } else {
         None
     };
@@ -155,12 +155,18 @@
             quantile(0.95),
             quantile(0.9999)
         );
-        println!("longest run after a cancellation: {} ms", observations.longest_run_after_cancellation / MS);
-        println!("longest time without an answer: {} ms", observations.longest_unanswered / MS);
-        println!("longest wait although a machine had room: {} ms", observations.longest_starvation / MS);
+        println!(
+            "longest run of a task after its cancellation was reported: {} ms",
+            observations.longest_run_after_cancellation / MS
+        );
+        println!("longest time of a user without an answer: {} ms", observations.longest_unanswered / MS);
+        println!(
+            "longest wait of a task although a machine had room for it: {} ms",
+            observations.longest_starvation / MS
+        );
         let starts = observations.starts_after_cancellation;
         println!(
-            "starts after a confirmed cancellation: {} commanded before it, {} after it",
+            "task starts after a reported cancellation: {} with a command before the report, {} after it",
             starts.commanded_before, starts.commanded_after
         );
         let ConsistencyChecks { sent, deferred } = observations.consistency_checks;
--- a/tests/fault_combinations/unanswered_state_calls.rs
+++ b/tests/fault_combinations/unanswered_state_calls.rs
@@ -63,7 +63,7 @@
         let is_early = |at: u64| at < 40 * SEC;
         cancelled += simulation.users.iter().filter(|user| user.cancelled_at.is_some_and(is_early)).count();
     }
-    println!("longest run after a cancellation: {} ms", longest / MS);
+    println!("longest run of a task after its cancellation was reported: {} ms", longest / MS);
     assert!(cancelled >= 12, "only {cancelled} users were told that their job is cancelled before the outage");
 }
 
@@ -102,7 +102,7 @@
     for seed in 0..8 {
         answers += stale_answers_after_stepping_down(seed);
     }
-    assert_eq!(answers.stale, 0, "older states told by the former leader");
+    assert_eq!(answers.stale, 0, "stale answers of the former leader");
     assert!(answers.ended_jobs >= 20, "only {} jobs have ended", answers.ended_jobs);
 }
 
@@ -118,10 +118,10 @@
         let (node, until) = (simulation.current_leader(), simulation.now + 60 * SEC);
         simulation.partition(Endpoint::Controller(node), [Endpoint::AllMachines], until, LOSE_PACKETS);
         simulation.run_until(45 * SEC);
-        assert_eq!(simulation.running_tasks(), 28, "seed {seed}: running tasks before the outage");
+        assert_eq!(simulation.running_tasks(), 28, "seed {seed}: number of running tasks before the outage");
         simulation.state_service.start_outage(45 * SEC, 22 * SEC);
         simulation.run_until(67 * SEC);
-        assert_eq!(simulation.running_tasks(), 28, "seed {seed}: running tasks at the end of the outage");
+        assert_eq!(simulation.running_tasks(), 28, "seed {seed}: number of running tasks at the end of the outage");
         simulation.run_until(100 * SEC);
         simulation.assert_no_violations();
     }
@@ -176,7 +176,7 @@
     for seed in 0..6 {
         answers += stale_answers_with_final_writes_in_doubt(seed, seed % 2 == 1);
     }
-    assert_eq!(answers.stale, 0, "older states while {} jobs have ended", answers.ended_jobs);
+    assert_eq!(answers.stale, 0, "stale answers of the leader about {} ended jobs", answers.ended_jobs);
     assert!(answers.ended_jobs >= 20, "only {} final records were written late", answers.ended_jobs);
 }
 
@@ -213,7 +213,7 @@
         simulation.assert_no_violations();
         starts += simulation.observations.starts_after_cancellation.commanded_after;
     }
-    assert_eq!(starts, 0, "starts commanded after a confirmed cancellation");
+    assert_eq!(starts, 0, "task starts commanded after a reported cancellation");
 }
 
 /// Runs a simulation in which a controller that the others cannot reach accepts a job, and the answer of the state
--- a/tests/simulation/assertions.rs
+++ b/tests/simulation/assertions.rs
@@ -28,7 +28,11 @@
     #[track_caller]
     pub fn assert_no_unfinished_jobs_in(&self, case: impl Display) {
         let unfinished = self.unfinished_jobs();
-        assert!(unfinished.is_empty(), "{case} seed {}: never done: {unfinished:?}", self.seed);
+        assert!(
+            unfinished.is_empty(),
+            "{case} seed {}: jobs that were not reported as done: {unfinished:?}",
+            self.seed
+        );
     }
 
     /// Panics unless every accepted job is done or cancelled, directly or because a prerequisite was cancelled.
@@ -43,21 +47,26 @@
             })
             .map(|user| &self.users[user].spec.id)
             .collect();
-        assert!(open.is_empty(), "seed {}: never done: {open:?}, {} starts", self.seed, self.starts);
+        assert!(
+            open.is_empty(),
+            "seed {}: accepted jobs that did not end: {open:?}, {} task starts",
+            self.seed,
+            self.starts
+        );
     }
 
     /// Panics if more than `max` jobs were never accepted.
     #[track_caller]
     pub fn assert_jobs_accepted_except(&self, max: usize) {
         let not_accepted = self.users.iter().filter(|user| user.accepted_at.is_none()).count();
-        assert!(not_accepted <= max, "seed {}: {not_accepted} jobs were never accepted", self.seed);
+        assert!(not_accepted <= max, "seed {}: {not_accepted} jobs were never accepted, more than {max}", self.seed);
     }
 
     /// Panics if the state service rejected a transaction because of its size.
     #[track_caller]
     pub fn assert_nothing_rejected_for_size(&self) {
         let rejected = &self.state_service.rejected_for_size;
-        assert!(rejected.is_empty(), "seed {}: rejected for size: {rejected:?}", self.seed);
+        assert!(rejected.is_empty(), "seed {}: transactions rejected because of their size: {rejected:?}", self.seed);
     }
 
     /// Returns `true` if one of the rules was violated.
--- a/tests/simulation/checker.rs
+++ b/tests/simulation/checker.rs
@@ -115,7 +115,10 @@
     pub(super) fn check_start(&mut self, machine: u32, task: &TaskId, commanded_at: u64) {
         self.starts += 1;
         let Some(user) = self.users.iter().position(|user| user.spec.id == task.job) else {
-            return self.record_violation(Rule::Invented, format!("{task} was started"));
+            return self.record_violation(
+                Rule::Invented,
+                format!("task {task} of a job that was not submitted starts on machine {machine}"),
+            );
         };
         self.check_start_is_allowed(machine, task, commanded_at, user);
         self.check_no_other_attempt_runs(machine, task);
@@ -132,13 +135,19 @@
                 starts.commanded_before += 1;
             }
             if self.now > cancelled_at + CANCELLATION_BOUND {
-                self.record_violation(Rule::RanCancelled, format!("{task} starts on {machine}"));
+                self.record_violation(
+                    Rule::RanCancelled,
+                    format!("task {task} of a cancelled job starts on machine {machine}"),
+                );
             }
         }
         let prerequisites = self.users[user].prerequisites.iter().map(|user| &self.users[*user].spec);
         let unfinished = prerequisites.clone().find(|job| !self.all_tasks_completed(job)).map(|job| job.id.clone());
         if let Some(prerequisite) = unfinished {
-            self.record_violation(Rule::TooEarly, format!("{task} starts before {prerequisite} is done"));
+            self.record_violation(
+                Rule::TooEarly,
+                format!("task {task} starts before the prerequisite {prerequisite} is done"),
+            );
         }
     }
 
@@ -150,7 +159,10 @@
         };
         let other = others.rfind(runs_task).map(|worker| worker.number);
         if let Some(other) = other {
-            self.record_violation(Rule::RanTwice, format!("{task} starts on {machine} while on {other}"));
+            self.record_violation(
+                Rule::RanTwice,
+                format!("task {task} starts on machine {machine} while it runs on machine {other}"),
+            );
         }
     }
 
@@ -170,7 +182,10 @@
             || (spec.one_zone && other_zone > 0)
             || (spec.spread && same_zone + 1 > spec.tasks.div_ceil(2));
         if is_wrong {
-            let detail = format!("{task} starts on {machine} ({}, {}, spot {})", here.kind, here.zone, here.spot);
+            let detail = format!(
+                "task {task} starts on machine {machine} (type {}, zone {}, spot {}), which its job does not allow",
+                here.kind, here.zone, here.spot
+            );
             self.record_violation(Rule::WrongPlace, detail);
         }
     }
@@ -205,10 +220,13 @@
         let over_quota = used_by_team.iter().find(|(team, used)| !self.quota(team).allows(used));
         if let Some((team, used)) = over_quota {
             let (cpus, gpus) = (used.cpus.0 / 1_000_000, used.gpus.0 / 1_000_000);
-            self.record_violation(Rule::Quota, format!("the {team} team uses {cpus} cpus and {gpus} GPUs"));
+            self.record_violation(
+                Rule::Quota,
+                format!("the {team} team uses {cpus} CPUs and {gpus} GPUs, more than its quota"),
+            );
         }
         if let Some(task) = running_too_long {
-            self.record_violation(Rule::RanCancelled, format!("{task} is still on a machine"));
+            self.record_violation(Rule::RanCancelled, format!("task {task} of a cancelled job still runs"));
         }
     }
 
@@ -226,7 +244,8 @@
             self.starved_since.insert(user, since);
             if waited > MAX_STARVATION {
                 let job = &self.users[user].spec.id;
-                let detail = format!("{job} has waited for {} s although a machine has room for it", waited / SEC);
+                let detail =
+                    format!("a task of job {job} has waited for {} s although a machine has room for it", waited / SEC);
                 self.record_violation(Rule::Idle, detail);
             }
         }
--- a/tests/simulation/malformed_requests.rs
+++ b/tests/simulation/malformed_requests.rs
@@ -127,12 +127,12 @@
             status if status == expected.status() => self.observations.malformed_requests.rejected += 1,
             503 => {}
             status => {
-                let detail = format!("{job}, which has to be rejected, gets {status} {}", reply.body);
+                let detail = format!("the invalid submission {job} got the reply {status} {}", reply.body);
                 self.record_violation(Rule::AcceptedOdd, detail);
             }
         }
         if self.has_live_record(job) {
-            self.record_violation(Rule::AcceptedOdd, format!("{job}, which has to be rejected, is recorded"));
+            self.record_violation(Rule::AcceptedOdd, format!("the job {job} of an invalid submission is recorded"));
         }
     }
 }
--- a/tests/simulation/user_answers.rs
+++ b/tests/simulation/user_answers.rs
@@ -19,7 +19,10 @@
         let Some((request, sent_at)) = open.filter(|(_, sent_at)| now - *sent_at <= REQUEST_TIMEOUT) else { return };
         if request == UserRequest::PollUnknownJob {
             if reply.status == 200 {
-                self.record_violation(Rule::Invented, format!("a job that was not submitted gets {}", reply.body));
+                self.record_violation(
+                    Rule::Invented,
+                    format!("the poll of a job that was not submitted got {}", reply.body),
+                );
             }
             return;
         }
@@ -46,7 +49,7 @@
                 return true;
             }
             400 | 404 | 422 if was_accepted => {
-                let detail = format!("{} gets {status}", user.spec.id);
+                let detail = format!("a request for the accepted job {} got the status {status}", user.spec.id);
                 self.record_violation(Rule::Forgotten, detail);
             }
             503 if now < self.consistency_checks_until && self.state_service.is_available(now) => {
@@ -68,7 +71,10 @@
             // The answer to a request sent before that report may be older, but must not contain another final state.
             if told_at < sent_at || matches!(state, job_state::DONE | job_state::CANCELLED) {
                 let later = sent_at.saturating_sub(told_at) / MS;
-                let detail = format!("{} is called {state} after {known_state}, asked {later} ms later", user.spec.id);
+                let detail = format!(
+                    "job {} is reported as {state} after {known_state}, in reply to a request sent {later} ms later",
+                    user.spec.id
+                );
                 self.record_violation(Rule::WentBack, detail);
             }
             return;
@@ -87,7 +93,10 @@
         }
         let spec = &self.users[index].spec;
         if !self.all_tasks_completed(spec) {
-            self.record_violation(Rule::NotDone, format!("{} is called done", spec.id));
+            self.record_violation(
+                Rule::NotDone,
+                format!("job {} is reported as done before all of its tasks are completed", spec.id),
+            );
         }
     }
 
@@ -96,7 +105,7 @@
         let user = &mut self.users[index];
         let was_requested = user.cancel_requested;
         if !was_requested && !self.prerequisite_cancel_requested(index) {
-            let detail = format!("{} is called cancelled", self.users[index].spec.id);
+            let detail = format!("job {} is reported as cancelled without a cancel request", self.users[index].spec.id);
             return self.record_violation(Rule::WentBack, detail);
         }
         let user = &mut self.users[index];
@@ -115,7 +124,10 @@
         let from = cancelled_at.max(user.accepted_at.unwrap_or(self.now));
         if self.now > from + CANCELLATION_BOUND {
             let prerequisite = &self.users[prerequisite].spec.id;
-            let detail = format!("{} is called {state} long after {prerequisite} was cancelled", user.spec.id);
+            let detail = format!(
+                "job {} is still reported as {state} although the prerequisite {prerequisite} was cancelled",
+                user.spec.id
+            );
             self.record_violation(Rule::Orphaned, detail);
         }
     }
--- a/tests/simulation/user_requests.rs
+++ b/tests/simulation/user_requests.rs
@@ -47,7 +47,7 @@
         if unanswered <= MAX_UNANSWERED {
             return false;
         }
-        let detail = format!("{} got no answer for {} s", user.spec.id, unanswered / SEC);
+        let detail = format!("the user of job {} got no answer for {} s", user.spec.id, unanswered / SEC);
         self.record_violation(Rule::Forgotten, detail);
         true
     }
--- a/tests/soak/links.rs
+++ b/tests/soak/links.rs
@@ -50,7 +50,7 @@
     copy(client, &server, blocked);
 }
 
-/// Copies data in one direction, unless the link is blocked, and closes both connections at the end.
+/// Copies data in one direction, pausing while the link is blocked, and shuts down both connections at the end.
 fn copy(mut from: &TcpStream, mut to: &TcpStream, blocked: &AtomicBool) {
     let mut chunk = vec![0; 64 * 1024];
     while let Ok(count) = from.read(&mut chunk) {
--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -47,7 +47,8 @@
     simulation.end_faults();
     simulation.run_without_faults(0, FAULT_FREE_PERIOD);
     println!(
-        "seed {seed}: {} starts, {} of {} jobs over, longest unanswered {} s, longest wait beside room {} s, {} terms",
+        "seed {seed}: {} task starts, {} of {} jobs ended, longest time without an answer {} s, longest wait although a \
+         machine had room {} s, {} leadership terms",
         simulation.starts,
         simulation.users.iter().filter(|user| user.is_over()).count(),
         simulation.users.len(),
@@ -61,7 +62,7 @@
         let is_ready = reply.as_ref().is_some_and(|reply| reply.status == 200);
         assert!(is_ready, "seed {seed}: controller {node} is not ready: {reply:?}");
     }
-    assert!(simulation.starts > 0, "seed {seed}: nothing was started");
+    assert!(simulation.starts > 0, "seed {seed}: no task was started");
 }
 
 /// Adds arrays and services, some of which are cancelled.
