--- a/tests/simulation/setup.rs
+++ b/tests/simulation/setup.rs
@@ -3,7 +3,7 @@
 use super::*;
 use rand::SeedableRng;
 
-/// Number of shards over which the teams are distributed.
+/// Number of shards over which the teams are distributed. One is the default of the program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Sharding {
     OneShard,
