--- a/tests/fault_combinations/runner.rs
+++ b/tests/fault_combinations/runner.rs
@@ -84,7 +84,7 @@
 }
 
 /// Returns the fault combinations of a seed: pairs in five of six rounds through the table, and single combinations in
-/// the sixth.
+/// the sixth. The distance between the two members of a pair changes with each round, so that all pairs occur in turn.
 fn combinations_of(seed: u64) -> Vec<&'static FaultCombination> {
     let count = FAULT_COMBINATIONS.len();
     let round = seed as usize / count;
