--- a/tests/fault_combinations/runner.rs
+++ b/tests/fault_combinations/runner.rs
@@ -1,4 +1,4 @@
-//! Runs days on which one fault combination occurs, or two close to each other.
+//! Simulation runs with one fault combination, or with two shortly after each other.
 
 use crate::combinations::{FAULT_COMBINATIONS, FaultCombination};
 use crate::simulation::users::spec;
@@ -9,16 +9,16 @@
 use rand::Rng;
 use std::ops::Range;
 
-/// The variable with the seeds to run, as in `SEEDS=1000..2000`.
+/// Environment variable that contains the range of seeds to run, as in `SEEDS=1000..2000`.
 const SEEDS_VARIABLE: &str = "SEEDS";
 
-/// The seeds that run without that variable.
+/// Range of seeds to run if the variable `SEEDS` is not set.
 const DEFAULT_SEEDS: Range<u64> = 0..96;
 
-/// Properties of the operators, one of which applies to each seed.
+/// Properties of the operators. Each seed runs with one of them.
 const PROPERTIES: [&str; 4] = ["", "claim.life.ms = 8000", "standby.enabled = false", "recovery.reclaim = false"];
 
-/// Returns a simulation that has run for 24 s or more with jobs of every kind.
+/// Returns a simulation with all kinds of jobs that has run until 24 to 27 s of simulated time.
 fn start_workload(seed: u64, disabled: DisabledSafeguard, properties: &str) -> Simulation {
     let mut simulation = match seed % 5 {
         0 => Simulation::new(seed, disabled),
@@ -45,7 +45,7 @@
     }
 }
 
-/// Adds arrays, some with two or three tasks that end far apart, and some that are cancelled.
+/// Adds arrays: half of them with two or three tasks that end far apart, and a fifth of them cancelled.
 fn add_arrays(simulation: &mut Simulation) {
     for id in 100..190 {
         let has_few_tasks = id % 2 == 0;
@@ -63,7 +63,7 @@
     }
 }
 
-/// Adds services that are cancelled around the time of the faults.
+/// Adds services that are cancelled before, during or after the faults.
 fn add_cancelled_services(simulation: &mut Simulation) {
     for id in 200..212 {
         let cancel_after = simulation.rng.random_range(18 * SEC..60 * SEC);
@@ -71,7 +71,7 @@
     }
 }
 
-/// Runs a day on which the fault combinations occur shortly one after another.
+/// Runs a seed with fault combinations shortly after each other, and then for 190 s without faults.
 pub fn run_with(seed: u64, disabled: DisabledSafeguard, combinations: &[&FaultCombination]) -> Simulation {
     let properties = PROPERTIES[seed as usize / 5 % PROPERTIES.len()];
     let mut simulation = start_workload(seed, disabled, properties);
@@ -83,7 +83,8 @@
     simulation
 }
 
-/// Returns the fault combinations of a seed: all pairs in turn, and now and then one alone.
+/// Returns the fault combinations of a seed: pairs in five of six rounds through the table, and single combinations in
+/// the sixth. The distance between the two members of a pair changes with each round, so that all pairs occur in turn.
 fn combinations_of(seed: u64) -> Vec<&'static FaultCombination> {
     let count = FAULT_COMBINATIONS.len();
     let round = seed as usize / count;
@@ -92,8 +93,8 @@
     if round % 6 == 5 { vec![first] } else { vec![first, second] }
 }
 
-/// Runs a seed's day. Returns what was observed, and what went wrong.
-fn run_day(seed: u64) -> (Summary, Option<String>) {
+/// Runs a seed with its fault combinations. Returns the measurements, and a description of the failure if there is one.
+fn run_seed(seed: u64) -> (Summary, Option<String>) {
     let combinations = combinations_of(seed);
     let simulation = run_with(seed, DisabledSafeguard::None, &combinations);
     let names: Vec<&str> = combinations.iter().map(|combination| combination.name).collect();
@@ -102,14 +103,14 @@
         let trace = simulation.trace.join("\n");
         Some(format!("seed {seed}, {names:?}: {:?}\n{trace}", simulation.violations))
     } else if !unfinished.is_empty() {
-        Some(format!("seed {seed}, {names:?}: never done: {unfinished:?}"))
+        Some(format!("seed {seed}, {names:?}: jobs that were not reported as done: {unfinished:?}"))
     } else {
         None
     };
     (Summary::of(&simulation), failure)
 }
 
-/// Returns the seeds to run.
+/// Returns the seeds to run, from the environment variable or by default.
 fn seeds() -> Range<u64> {
     let requested = std::env::var(SEEDS_VARIABLE).ok();
     let requested = requested.and_then(|range| {
@@ -119,7 +120,7 @@
     requested.unwrap_or(DEFAULT_SEEDS)
 }
 
-/// What was observed on one day or on several.
+/// Measurements of one or more runs.
 #[derive(Default)]
 struct Summary {
     observations: Observations,
@@ -139,13 +140,14 @@
         self.delayed_commits_applied += other.delayed_commits_applied;
     }
 
-    fn print(&mut self, days: u64) {
+    fn print(&mut self, runs: u64) {
         let observations = &mut self.observations;
         observations.cancellation_latencies.sort();
         let latencies = &observations.cancellation_latencies;
-        let quantile =
-            |share: f64| latencies.get((latencies.len() as f64 * share) as usize).map_or(0, |latency| latency / MS);
-        println!("{days} days");
+        let quantile = |fraction: f64| {
+            latencies.get((latencies.len() as f64 * fraction) as usize).map_or(0, |latency| latency / MS)
+        };
+        println!("{runs} runs");
         println!(
             "{} cancellations: median {} ms, 95% {} ms, longest {} ms",
             latencies.len(),
@@ -153,12 +155,18 @@
             quantile(0.95),
             quantile(0.9999)
         );
-        println!("longest run after a cancellation: {} ms", observations.longest_run_after_cancellation / MS);
-        println!("longest time without an answer: {} ms", observations.longest_unanswered / MS);
-        println!("longest wait although a machine had room: {} ms", observations.longest_starvation / MS);
+        println!(
+            "longest run of a task after its cancellation was reported: {} ms",
+            observations.longest_run_after_cancellation / MS
+        );
+        println!("longest time of a user without an answer: {} ms", observations.longest_unanswered / MS);
+        println!(
+            "longest wait of a task although a machine had room for it: {} ms",
+            observations.longest_starvation / MS
+        );
         let starts = observations.starts_after_cancellation;
         println!(
-            "starts after a confirmed cancellation: {} commanded before it, {} after it",
+            "task starts after a reported cancellation: {} with a command before the report, {} after it",
             starts.commanded_before, starts.commanded_after
         );
         let ConsistencyChecks { sent, deferred } = observations.consistency_checks;
@@ -171,26 +179,26 @@
 #[test]
 fn safety_rules_hold_when_two_fault_combinations_occur() {
     let seeds = seeds();
-    let days = seeds.end - seeds.start;
+    let runs = seeds.end - seeds.start;
     let mut summary = Summary::default();
     let mut failures = Vec::new();
-    // Days do not depend on each other, so each processor runs a part of them.
-    let threads = std::thread::available_parallelism().map_or(1, |count| count.get() as u64).min(days.max(1));
+    // Runs are independent of each other, so each processor executes a part of them.
+    let threads = std::thread::available_parallelism().map_or(1, |count| count.get() as u64).min(runs.max(1));
     std::thread::scope(|scope| {
         let part = |first: u64| seeds.clone().skip(first as usize).step_by(threads as usize);
         let handles: Vec<_> =
-            (0..threads).map(|first| scope.spawn(move || part(first).map(run_day).collect::<Vec<_>>())).collect();
+            (0..threads).map(|first| scope.spawn(move || part(first).map(run_seed).collect::<Vec<_>>())).collect();
         for handle in handles {
-            for (day, failure) in handle.join().expect("a day does not panic") {
+            for (run, failure) in handle.join().expect("a run does not panic") {
                 failures.extend(failure);
-                summary.add(day);
+                summary.add(run);
             }
         }
     });
     failures.sort();
-    assert!(failures.is_empty(), "{} of {days} days:\n{}", failures.len(), failures.join("\n"));
-    summary.print(days);
-    if days >= 96 {
+    assert!(failures.is_empty(), "{} of {runs} runs:\n{}", failures.len(), failures.join("\n"));
+    summary.print(runs);
+    if runs >= 96 {
         assert!(summary.delayed_commits_applied > 0, "no delayed transaction was applied");
         let ConsistencyChecks { sent, deferred } = summary.observations.consistency_checks;
         assert!(sent > 1000, "only {sent} consistency checks");
--- a/tests/simulation/worker_commands.rs
+++ b/tests/simulation/worker_commands.rs
@@ -1,4 +1,4 @@
-//! How workers execute the commands of controllers, and what they make of the answers to their heartbeats.
+//! Execution of controllers' commands by workers, and the workers' handling of the answers to their heartbeats.
 
 use super::workers::{HEARTBEAT_TIMEOUT, RunningTask};
 use super::*;
@@ -6,7 +6,7 @@
 use serde_json::Value;
 
 impl Simulation {
-    /// Executes a call of a controller; a machine that is not reachable gives no answer.
+    /// Executes a call of a controller. Returns `None` if the machine does not answer.
     pub(super) fn execute_worker_call(&mut self, number: u32, request: &WorkerCall) -> Option<WorkerAnswer> {
         let now = self.now;
         let worker = self.workers.get_mut(&number)?;
@@ -35,7 +35,8 @@
         let Some(worker) = self.workers.get_mut(&number) else { return };
         for request in std::mem::take(&mut worker.calls_while_hung) {
             if let Some(answer) = self.execute_worker_call(number, &request) {
-                // The calls have timed out, so that their answers are sent and ignored: no process has incarnation 0.
+                // The calls have timed out, so the controller has to ignore the answers. They are sent to incarnation
+                // 0, which no process has.
                 let call = OutboundCallId(0);
                 let event = Event::Worker { call, answer: Ok(answer) };
                 self.send_answer(0, 0, call, Endpoint::Machine(number), event);
@@ -44,7 +45,7 @@
     }
 
     /// Handles the answer to a heartbeat.
-    pub(super) fn heartbeat_answered(&mut self, number: u32, sequence_number: u64, node: usize, reply: &Reply) {
+    pub(super) fn handle_heartbeat_reply(&mut self, number: u32, sequence_number: u64, node: usize, reply: &Reply) {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(&number) else { return };
         let Some(heartbeat) =
@@ -57,46 +58,49 @@
             return;
         }
         if now < worker.hung_until {
-            // The answer is read when the machine goes on; by then it is usually too old.
+            // The machine reads the answer after resuming, when the heartbeat has usually timed out.
             let at = worker.hung_until + MS;
             let origin = RequestOrigin::Worker { machine: number, heartbeat: sequence_number };
             return self.schedule(at, ScheduledEvent::ReplyArrives { origin, node, reply: reply.clone() });
         }
         worker.heartbeat_in_flight = None;
         if now - heartbeat.sent_at > HEARTBEAT_TIMEOUT {
-            return worker.turn_to_next(now);
+            return worker.switch_to_next_controller(now);
         }
         let body: Value = serde_json::from_str(&reply.body).unwrap_or_default();
         match reply.status {
-            200 if heartbeat.epoch == worker.epoch => self.lease_renewed(number, heartbeat.sent_at, &body),
+            200 if heartbeat.epoch == worker.epoch => self.handle_lease_renewal(number, heartbeat.sent_at, &body),
             200 => {}
-            421 if body["rookery"].is_string() => self.heartbeat_redirected(number, node, &body),
-            _ => worker.turn_to_next_after(node, now),
+            421 if body["rookery"].is_string() => self.handle_redirect(number, node, &body),
+            _ => worker.switch_to_controller_after(node, now),
         }
     }
 
-    /// Renews the worker's lease and executes the commands in the answer, unless a deposed leader has sent it.
-    fn lease_renewed(&mut self, number: u32, sent_at: u64, body: &Value) {
+    /// Renews the worker lease and executes the commands in the answer, unless the answer has an older fencing token
+    /// than the worker and therefore comes from a deposed leader.
+    fn handle_lease_renewal(&mut self, number: u32, sent_at: u64, body: &Value) {
         let Some(worker) = self.workers.get_mut(&number) else { return };
         let Some(token) = body["crest"].as_u64().filter(|token| *token >= worker.token) else { return };
         if token > worker.token {
             worker.token = token;
             worker.changed = true;
         }
-        worker.lease_from = Some(sent_at);
+        worker.lease_started_at = Some(sent_at);
         let commands = body["calls"].as_array().cloned().unwrap_or_default();
         self.execute_commands(number, &commands);
     }
 
-    /// Turns to the controller that another one has named.
-    fn heartbeat_redirected(&mut self, number: u32, node: usize, body: &Value) {
+    /// Sends the next heartbeat to the controller that was named in the answer.
+    fn handle_redirect(&mut self, number: u32, node: usize, body: &Value) {
         let now = self.now;
         let label = body["rookery"].as_str().unwrap_or_default();
         let target = self.controllers.iter().position(|controller| controller.label.as_str() == label);
         let Some(worker) = self.workers.get_mut(&number) else { return };
         match target {
-            Some(target) if target != node => worker.turn_to(target, now + self.rng.random_range(0..500 * MS)),
-            _ => worker.turn_to_next_after(node, now),
+            Some(target) if target != node => {
+                worker.set_next_heartbeat(target, now + self.rng.random_range(0..500 * MS));
+            }
+            _ => worker.switch_to_controller_after(node, now),
         }
     }
 
