--- a/crates/forecast/benches/learning.rs
+++ b/crates/forecast/benches/learning.rs
@@ -1,5 +1,5 @@
-//! Measures learning, predicting, and writing and restoring a snapshot after 100, 10,000 and 1,000,000 observations,
-//! and prints the sizes of learner and snapshots.
+//! Benchmarks of learning, forecasting, and writing and restoring a snapshot after 100, 10,000 and 1,000,000
+//! observations. Also prints the sizes of the learner and its snapshots.
 
 #![allow(missing_docs)]
 
@@ -9,12 +9,12 @@
 use crowstall_forecast::{Attempt, JobObservations, Learner, Limits, Outcome, Span, TaskFeatures, Time, snapshot};
 use std::hint::black_box;
 
-/// A limit that no snapshot reaches.
+/// Size limit that no snapshot reaches.
 const UNLIMITED_BYTES: usize = 1 << 20;
-/// The limit of snapshots that contain only the most useful cells.
+/// Size limit that leaves room only for the most useful cells.
 const LIMITED_BYTES: usize = 4000;
 
-/// Returns a learner after `count` lines of a synthetic history, and the next lines.
+/// Returns a learner after `count` lines of a synthetic history, and the next 1,000 lines.
 fn learner_after(count: usize) -> (Learner, Vec<HistoryLine>) {
     let mut replay = Replay::new(Limits::default());
     let mut history = HistoryGenerator::new(7);
--- a/crates/forecast/src/calibration.rs
+++ b/crates/forecast/src/calibration.rs
@@ -1,54 +1,55 @@
-//! Calibration of prediction intervals: counts how often outcomes lay inside, and adapts the widths.
+//! Calibration of prediction intervals: counts the outcomes inside and outside, and adapts the widths.
 //!
 //! The method is adaptive conformal inference (I. Gibbs and E. Candès, "Adaptive conformal inference under
 //! distribution shift", 2021): each miss widens the missed side of the interval and each hit narrows the side, in
 //! the proportion in which hits and misses should occur.
 
-/// The probability that an outcome lies below the interval, and the same above it.
+/// Nominal probability of an outcome below the interval, and likewise above it.
 pub(crate) const TAIL_PROBABILITY: f64 = 0.1;
-/// The step size of the adaptation, as the logarithm of a width.
+/// Step size of the adaptation, as the logarithm of a width.
 const LEARNING_RATE: f64 = 0.06;
-/// How far a side can be widened or narrowed, as the logarithm of its width.
+/// Maximum widening or narrowing of a side, as the logarithm of its width.
 pub(crate) const MAX_LOG_WIDENING: f64 = 1.5;
-/// The number of observations from which on a forecast is based on many.
+/// Minimum number of observations for a forecast to count as based on many.
 pub(crate) const MANY_OBSERVATIONS: u64 = 20;
-/// The number of earlier tasks of the same job from which on a forecast is based on them.
+/// Minimum number of earlier tasks of the same job for a forecast to count as based on them.
 const MIN_TASKS_OF_JOB: u32 = 8;
-/// The smallest weight of one task in the calibration.
+/// Minimum weight of a task in the calibration.
 ///
-/// A further task of a large job adds little to what is known of its class, but as much as any other task about the
+/// A further task of a large job adds little information about its class, but as much as any other task about the
 /// quality of its forecast.
 const MIN_WEIGHT: f64 = 0.3;
-/// The largest error of a median that counts as being within a quarter, as a fraction of the outcome.
+/// Maximum error of a prediction that counts as within a quarter, as a fraction of the outcome.
 const NEAR_FRACTION: f64 = 0.25;
-/// The number of different bases of a forecast.
+/// Number of different bases of a forecast; see [`Basis`].
 pub(crate) const BASES: usize = 4;
 
 /// Counts of judged intervals.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Tally {
-    /// How many intervals were judged.
+    /// Number of intervals that were compared with an outcome.
     pub judged: u64,
-    /// In how many cases the outcome lay below the interval.
+    /// Number of outcomes below the interval.
     pub below: u64,
-    /// In how many cases the outcome lay above the interval.
+    /// Number of outcomes above the interval.
     pub above: u64,
-    /// In how many cases the median was off by at most a quarter of the outcome.
+    /// Number of medians that were off by at most a quarter of the outcome.
     pub within_quarter: u64,
 }
 
 impl Tally {
-    /// Returns the share of outcomes inside the interval, or `None` if none was judged.
+    /// Returns the fraction of outcomes inside the interval, from 0 to 1; `None` if no interval was judged.
     pub fn coverage(&self) -> Option<f64> {
         (self.judged > 0).then(|| 1.0 - (self.below + self.above) as f64 / self.judged as f64)
     }
 
-    /// Returns the share of medians that were off by at most a quarter, or `None` if none was judged.
+    /// Returns the fraction of medians that were off by at most a quarter, from 0 to 1; `None` if no interval was
+    /// judged.
     pub fn within_quarter_share(&self) -> Option<f64> {
         (self.judged > 0).then(|| self.within_quarter as f64 / self.judged as f64)
     }
 
-    /// Compares an interval with the outcome.
+    /// Compares an interval with the outcome and counts the result.
     pub fn judge(&mut self, low: f64, median: f64, high: f64, outcome: f64) {
         self.judged += 1;
         self.below += u64::from(outcome < low);
@@ -65,22 +66,22 @@
     }
 }
 
-/// Whether a prediction is off by at most a quarter of the outcome.
+/// Returns `true` if a prediction is off by at most a quarter of the outcome.
 pub(crate) fn is_within_quarter(prediction: f64, outcome: f64) -> bool {
     (prediction - outcome).abs() <= NEAR_FRACTION * outcome
 }
 
-/// By how much the two sides of an interval are widened, as logarithms; negative values narrow them.
+/// Widening of the two sides of an interval, as logarithms; negative values narrow them.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct LogWidening {
-    /// The side from the lower bound to the median.
+    /// Side from the lower bound to the median.
     pub low: f64,
-    /// The side from the median to the upper bound.
+    /// Side from the median to the upper bound.
     pub high: f64,
 }
 
 impl LogWidening {
-    /// Adapts the widening to an outcome that lay below the interval, above it or inside.
+    /// Adapts the widening to an outcome below the interval, above it or inside (neither flag is set).
     pub fn adapt(&mut self, below: bool, above: bool, weight: f64) {
         let weight = weight.max(MIN_WEIGHT);
         let step = |missed: bool| LEARNING_RATE * weight * (f64::from(u8::from(missed)) - TAIL_PROBABILITY);
@@ -89,16 +90,16 @@
     }
 }
 
-/// What a forecast is based on.
+/// Kind of the observations that a forecast is based on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Basis {
     /// No observation of such tasks.
     NoObservations,
-    /// Fewer observations than [`MANY_OBSERVATIONS`].
+    /// At least one observation, but fewer than [`MANY_OBSERVATIONS`].
     FewObservations,
     /// [`MANY_OBSERVATIONS`] or more.
     ManyObservations,
-    /// Enough tasks of the same job.
+    /// At least [`MIN_TASKS_OF_JOB`] tasks of the same job.
     TasksOfJob,
 }
 
@@ -125,20 +126,20 @@
     }
 }
 
-/// The calibration of a learner's intervals, separate for each basis of a forecast.
+/// Calibration of a learner's intervals, separate for each basis of a forecast.
 ///
-/// The bases differ in kind: forecasts based on tasks of the same job do not contain the variation between jobs, and
-/// most tasks belong to large jobs. One widening for all would fit none of them.
+/// A common widening would fit no basis: forecasts based on tasks of the same job do not contain the variation between
+/// jobs, and most tasks belong to large jobs, so that these would dominate.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Calibration {
-    /// The widening of the intervals, by basis.
+    /// Widening of the intervals, by basis.
     pub(crate) widenings: [LogWidening; BASES],
-    /// The judged intervals, by basis: no observations, few, many, or tasks of the same job.
+    /// Counts of judged intervals, by basis: no observations, few, many, or tasks of the same job.
     pub tallies: [Tally; BASES],
 }
 
 impl Calibration {
-    /// Returns the counts of all intervals.
+    /// Returns the counts over all bases.
     pub fn overall(&self) -> Tally {
         let mut sum = Tally::default();
         self.tallies.iter().for_each(|tally| sum.merge(*tally));
--- a/crates/forecast/src/cell.rs
+++ b/crates/forecast/src/cell.rs
@@ -1,40 +1,43 @@
-//! A cell: what was observed of the run times of similar tasks, that is, their location, scale and shape.
+//! A cell: the location, scale and shape of the distribution of run times of similar tasks, estimated from their
+//! attempts.
 
 use crate::sample::CensoredSample;
 use crowstall_model::time::{Span, Time};
 
-/// How many of the newest completed attempts the location remembers.
+/// Weight of attempts after which an older one counts 1/e in the location.
 ///
-/// The number is small, so that a day on which all estimates are too high is noticed within tens of completions.
+/// The number is small so that estimates that become too high for all jobs are corrected within tens of completed
+/// attempts.
 const LOCATION_MEMORY: f64 = 50.0;
-/// How many attempts the scale and the shape remember: they need more observations and change less.
+/// Weight of attempts after which an older one counts 1/e in the scale and the shape. These need more observations than
+/// the location and change less.
 const SCALE_MEMORY: f64 = 150.0;
-/// The strength of the prior that the run time is proportional to the estimate, that is, that the slope of their
-/// logarithms is 1; in units of weight times variance of the estimates.
+/// Strength of the prior that the run time is proportional to the estimate, that is, that the slope of their logarithms
+/// is 1; in units of weight times variance of the estimates.
 const SLOPE_PRIOR: f64 = 0.5;
-/// The largest slope of the run time over the estimate.
+/// Maximum slope of the logarithm of the run time over that of the estimate.
 const MAX_SLOPE: f64 = 1.5;
-/// How many times per half-life decay is applied at most.
+/// Maximum number of times per half-life that decay is applied.
 const DECAYS_PER_HALF_LIFE: u64 = 1000;
 
-/// A weighted mean in which older values decay.
+/// Weighted mean in which older values decay exponentially.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct DecayingMean {
-    /// The weighted sum of the values.
+    /// Weighted sum of the values.
     pub sum: f64,
-    /// The weight of the values.
+    /// Total weight of the values.
     pub weight: f64,
 }
 
 impl DecayingMean {
-    /// Adds a value; older values decay as if `memory` values were remembered.
+    /// Adds a value. Earlier values decay by the factor e for each `memory` of added weight.
     pub fn add(&mut self, value: f64, weight: f64, memory: f64) {
         let decay = (-weight / memory).exp();
         self.sum = self.sum * decay + value * weight;
         self.weight = self.weight * decay + weight;
     }
 
-    /// Returns the mean shrunk towards `prior`, which counts as much as values of weight `strength`.
+    /// Returns the mean shrunk towards `prior`, which counts as much as values with a weight of `strength`.
     pub fn shrunk_towards(&self, prior: f64, strength: f64) -> f64 {
         (self.sum + prior * strength) / (self.weight + strength)
     }
@@ -50,50 +53,51 @@
     }
 }
 
-/// An attempt as a cell records it; durations are logarithms of seconds.
+/// Attempt as a cell records it; durations are logarithms of seconds.
 pub(crate) struct CellObservation {
-    /// The owner's estimate.
+    /// Owner's estimate.
     pub estimate: f64,
-    /// The run time, or its expectation if the attempt was censored.
+    /// Run time, or its expectation if the attempt was censored.
     pub run_time: f64,
-    /// The weight of the attempt.
+    /// Weight of the attempt; decreases with each further task of the same job.
     pub weight: f64,
-    /// How much the run time counts as evidence: 1 for a completed attempt, less for a censored one.
+    /// Evidence that the run time counts for: 1 for a completed attempt, less for a censored one.
     pub evidence: f64,
-    /// The difference between the run time and the location that this cell had predicted.
+    /// Difference between the run time and the location that the level of the cell had predicted.
     pub residual: f64,
-    /// The standardized difference between the observed run time and the predicted location.
+    /// Standardized difference between the observed run time and the predicted location.
     pub standardized: f64,
-    /// Whether the attempt completed.
+    /// `true` if the attempt completed, `false` if it was censored.
     pub is_completed: bool,
-    /// The squared difference from the mean of the job's other tasks, if any have been observed.
+    /// Squared difference from the mean of the job's other tasks, scaled to the variance within the job; `None` if
+    /// these have too little weight.
     pub within_job_square: Option<f64>,
 }
 
-/// What was observed of the run times of similar tasks.
+/// Statistics of the run times of similar tasks; durations are logarithms of seconds.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Cell {
-    /// The weight of the observations.
+    /// Weight of the observations.
     pub weight: f64,
-    /// The mean of the logarithms of the estimates.
+    /// Mean of the estimates.
     pub mean_estimate: f64,
-    /// The mean of the logarithms of the run times.
+    /// Mean of the run times.
     pub mean_run_time: f64,
-    /// The weighted sum of squared deviations of the estimates.
+    /// Weighted sum of squared deviations of the estimates from their mean.
     pub estimate_moment: f64,
-    /// The weighted sum of products of the deviations of estimates and run times.
+    /// Weighted sum of products of the deviations of estimates and run times from their means.
     pub cross_moment: f64,
-    /// How much of the weight comes from run times that were observed to their end.
+    /// Weight of the observations as evidence: completed attempts count in full, censored ones in part.
     pub evidence: f64,
-    /// How many attempts completed; this count does not decay.
+    /// Number of completed attempts; does not decay.
     pub completed: u64,
-    /// The mean of the squared residuals: the total variance.
+    /// Total variance: the mean of the squared residuals.
     pub total_variance: DecayingMean,
-    /// The mean of the squared residuals within jobs.
+    /// Variance within jobs: the mean of the squared differences from the other tasks of the job.
     pub within_job_variance: DecayingMean,
-    /// The standardized run times.
+    /// Standardized run times.
     pub shape: CensoredSample,
-    /// When the cell was last decayed.
+    /// Latest time that [`Cell::decay`] was called with.
     pub updated: Time,
 }
 
@@ -109,6 +113,7 @@
         self.shape.add(observation.standardized, observation.weight, observation.is_completed);
     }
 
+    /// Updates the regression of run times over estimates.
     fn record_location(&mut self, observation: &CellObservation) {
         self.scale_location_weight((-observation.weight / LOCATION_MEMORY).exp());
         self.evidence += observation.weight * observation.evidence;
@@ -123,6 +128,7 @@
         self.weight = weight;
     }
 
+    /// Updates the variances with a completed attempt.
     fn record_scale(&mut self, observation: &CellObservation) {
         self.completed += 1;
         self.total_variance.add(observation.residual * observation.residual, observation.weight, SCALE_MEMORY);
@@ -131,7 +137,8 @@
         }
     }
 
-    /// Returns the location of the run time of tasks with this estimate, by the regression over the estimate.
+    /// Returns the location of the run time of tasks with this estimate, from the regression of run times over
+    /// estimates.
     pub fn location(&self, estimate: f64) -> f64 {
         let slope = ((self.cross_moment + SLOPE_PRIOR) / (self.estimate_moment + SLOPE_PRIOR)).clamp(0.0, MAX_SLOPE);
         self.mean_run_time + slope * (estimate - self.mean_estimate)
@@ -141,7 +148,7 @@
     pub fn decay(&mut self, now: Time, half_life: Span) {
         let age = now.since(self.updated);
         self.updated = self.updated.max(now);
-        // A shorter time is not worth the computation.
+        // A shorter time is skipped to save the computation, and is not made up for by a later call.
         if age.0.saturating_mul(DECAYS_PER_HALF_LIFE) < half_life.0 || self.weight == 0.0 {
             return;
         }
@@ -159,7 +166,7 @@
         self.cross_moment *= factor;
     }
 
-    /// Returns the evidence that would be lost without this cell.
+    /// Returns the evidence that would be lost if the cell were evicted.
     pub fn usefulness(&self, now: Time, half_life: Span) -> f64 {
         self.evidence * decay_factor(now.since(self.updated), half_life)
     }
@@ -186,12 +193,13 @@
         self.updated = self.updated.max(other.updated);
     }
 
-    /// Returns the memory of the cell.
+    /// Returns the memory of the cell, in bytes.
     pub fn bytes(&self) -> usize {
         size_of::<Cell>() + self.shape.heap_bytes()
     }
 }
 
+/// Returns the factor by which evidence of this age is reduced.
 fn decay_factor(age: Span, half_life: Span) -> f64 {
     (-(age.as_secs() / half_life.as_secs().max(1e-3))).exp2()
 }
--- a/crates/forecast/src/expectation.rs
+++ b/crates/forecast/src/expectation.rs
@@ -1,7 +1,7 @@
-//! The distribution that a learner expects for the run time of a task, before the outcome is known.
+//! The distribution that a learner expects for the run time of a task.
 //!
 //! The location and the variances are estimated level by level from coarse to fine; each level is shrunk towards the
-//! coarser one. The tasks of a job share an effect that is estimated from those that have been observed.
+//! coarser one. The tasks of a job share a random effect, which is estimated from the observed ones.
 
 use crate::calibration::Basis;
 use crate::cell::Cell;
@@ -11,88 +11,91 @@
 use crate::survival::{PooledSample, SurvivalFunction};
 use crowstall_model::time::Span;
 
-/// The prior of the total variance of the logarithm of run time over estimate: a factor of some 1.8.
+/// Prior of the total variance of the logarithm of run time over estimate. The standard deviation corresponds to a
+/// factor of some 1.8.
 const PRIOR_TOTAL_VARIANCE: f64 = 0.36;
-/// The prior of the variance between the tasks of a job: a factor of some 1.2.
+/// Prior of the variance between the tasks of a job. The standard deviation corresponds to a factor of some 1.2.
 const PRIOR_WITHIN_JOB_VARIANCE: f64 = 0.04;
-/// The factor of the total variance for a job without an estimate.
+/// Factor of the prior total variance for a job without an estimate.
 const NO_ESTIMATE_FACTOR: f64 = 4.0;
-/// How many observations of a cell weigh as much as the location of the coarser one.
+/// Weight of the coarser level in the location of a cell, in observations.
 const LOCATION_PRIOR_WEIGHT: f64 = 4.0;
-/// How many observations of a cell weigh as much as the variances of the coarser one.
+/// Weight of the coarser level in the variances of a cell, in observations.
 const VARIANCE_PRIOR_WEIGHT: f64 = 6.0;
-/// The largest weight of each level in the shape of the distribution, from coarse to fine.
+/// Maximum weight of each level in the shape of the distribution, from coarse to fine.
 const SHAPE_WEIGHTS: [f64; LEVELS] = [8.0, 12.0, 20.0, 60.0];
-/// The weight of the normal distribution in the shape.
+/// Weight of the normal distribution in the shape.
 const SHAPE_PRIOR_WEIGHT: f64 = 6.0;
-/// How many completed attempts a cell needs to be named as the basis of a forecast.
+/// Minimum number of completed attempts for a cell to be reported as the basis of a forecast. The class is reported
+/// from the first one on.
 const MIN_OBSERVATIONS: u64 = 3;
-/// The smallest variance between jobs, as a fraction of the total variance.
+/// Minimum variance between jobs, as a fraction of the total variance.
 const MIN_BETWEEN_JOBS_FRACTION: f64 = 0.02;
-/// The smallest scale of the expected distribution.
+/// Minimum scale of the expected distribution.
 const MIN_SCALE: f64 = 0.01;
 
-/// The estimate of one level, which contains those of the coarser levels.
+/// Estimate of one level, shrunk towards those of the coarser levels.
 #[derive(Clone, Copy)]
 pub(crate) struct LevelEstimate {
-    /// The location of the logarithm of the run time.
+    /// Location of the logarithm of the run time.
     pub location: f64,
-    /// The variance over all jobs.
+    /// Variance over the tasks of all jobs.
     total_variance: f64,
-    /// The variance between the tasks of a job.
+    /// Variance between the tasks of a job.
     within_job_variance: f64,
-    /// The variance of the location itself.
+    /// Variance of the estimated location.
     location_variance: f64,
 }
 
-/// The estimates of all levels and the cells that they were made from, from coarse to fine.
+/// Estimates of all levels and the cells that they are based on, from coarse to fine. The cell is
+/// `None` for a level without observations.
 struct LevelEstimates<'a> {
     estimates: [LevelEstimate; LEVELS],
     cells: [Option<&'a Cell>; LEVELS],
 }
 
-/// The distribution expected for the run time of a task; durations are logarithms of seconds.
+/// Distribution expected for the run time of a task; durations are logarithms of seconds.
 pub(crate) struct Expectation {
-    /// The estimates of all levels, from coarse to fine.
+    /// Estimates of all levels, from coarse to fine.
     pub level_estimates: [LevelEstimate; LEVELS],
-    /// The location.
+    /// Location, including the effect of the job.
     pub location: f64,
-    /// The scale.
+    /// Scale: the standard deviation of the next task's run time.
     pub scale: f64,
-    /// The location without the effect of the job.
+    /// Location without the effect of the job.
     pub base_location: f64,
-    /// The distribution of standardized run times.
+    /// Distribution of standardized run times.
     pub survival: SurvivalFunction,
-    /// On how many completed attempts the expectation is based.
+    /// Number of completed attempts that the expectation is based on.
     pub observations: u64,
-    /// How similar those attempts were.
+    /// Finest level with enough of these attempts.
     pub level: Level,
-    /// What the expectation is based on, for the calibration.
+    /// Kind of the observations that the expectation is based on, by which the intervals are calibrated.
     pub basis: Basis,
-    /// The standard deviation that all tasks of the job share.
+    /// Standard deviation of the effect that all tasks of the job share.
     pub shared_deviation: f64,
-    /// The standard deviation between the tasks of the job.
+    /// Standard deviation between the tasks of the job.
     pub task_deviation: f64,
 }
 
-/// What the tasks of a job share beyond their features: a random effect in the sense of mixed models.
+/// Effect that the tasks of a job share beyond their features: a random effect of a mixed model.
 struct JobEffect {
-    /// The expected effect on the location.
+    /// Expected effect on the location.
     shift: f64,
-    /// The variance of the effect.
+    /// Variance of the effect.
     variance: f64,
-    /// The variance between the tasks of the job.
+    /// Variance between the tasks of the job.
     within_job_variance: f64,
 }
 
-/// The completed attempts that a forecast is based on.
+/// Completed attempts that a forecast is based on.
 struct SimilarAttempts {
     level: Level,
     completed: u64,
 }
 
 impl LevelEstimate {
-    /// The estimate before anything was observed: the run time is what the owner says.
+    /// Returns the estimate without any observation: the run time is expected to be the owner's estimate.
     fn prior(features: &TaskFeatures) -> LevelEstimate {
         let factor = if features.estimate > Span::ZERO { 1.0 } else { NO_ESTIMATE_FACTOR };
         let total_variance = PRIOR_TOTAL_VARIANCE * factor;
@@ -113,7 +116,8 @@
             within_job_variance: cell
                 .within_job_variance
                 .shrunk_towards(self.within_job_variance, VARIANCE_PRIOR_WEIGHT),
-            // Censored attempts may move the location but do not make it more certain.
+            // The weight of the total variance counts completed attempts only: censored ones may move the location but
+            // do not make it more certain.
             location_variance: self.location_variance * LOCATION_PRIOR_WEIGHT
                 / (cell.total_variance.weight + LOCATION_PRIOR_WEIGHT),
         }
@@ -121,10 +125,12 @@
 }
 
 impl LevelEstimates<'_> {
+    /// Returns the estimate of the finest level, which contains those of the coarser ones.
     fn finest(&self) -> LevelEstimate {
         self.estimates[LEVELS - 1]
     }
 
+    /// Returns the distribution of standardized run times, pooled over all levels.
     fn survival_function(&self) -> SurvivalFunction {
         let mut pooled = PooledSample::default();
         for (cell, max_weight) in self.cells.iter().zip(SHAPE_WEIGHTS) {
@@ -136,7 +142,7 @@
         pooled.survival_function()
     }
 
-    /// Returns the attempts of the finest level with enough of them.
+    /// Returns the finest level with enough completed attempts, and their number.
     fn similar_attempts(&self) -> SimilarAttempts {
         let mut similar = SimilarAttempts { level: Level::Estimate, completed: 0 };
         for (cell, level) in self.cells.iter().skip(1).zip([Level::Class, Level::ClassAndSize, Level::Kind]) {
@@ -150,7 +156,8 @@
 }
 
 impl JobEffect {
-    /// Estimates the effect: the more tasks of the job were observed, the more of their mean residual it explains.
+    /// Estimates the effect from the mean residual of the job, shrunk towards zero; the more tasks of the job were
+    /// observed, the less it is shrunk.
     fn new(estimate: &LevelEstimate, job: &JobObservations) -> JobEffect {
         let total = estimate.total_variance;
         let within = estimate.within_job_variance.min(total);
@@ -189,12 +196,13 @@
         }
     }
 
+    /// Returns the estimates of all levels for a task.
     fn level_estimates(&self, features: &TaskFeatures) -> LevelEstimates<'_> {
         let log_estimate = features.log_estimate();
         let mut estimate = LevelEstimate::prior(features);
         let cells = features.cell_keys().map(|key| self.cells.get(&key).map(|cell| &**cell));
         let estimates = cells.map(|cell| {
-            // A level without observations has the estimate of the coarser one.
+            // A level without observations takes over the estimate of the coarser one.
             if let Some(cell) = cell.filter(|cell| cell.weight > 0.0) {
                 estimate = estimate.refine(cell, log_estimate);
             }
@@ -205,8 +213,9 @@
 
     /// Returns the location without the effect of the job.
     ///
-    /// For a job with observed tasks it is the location of the first one, so that what the job itself taught the
-    /// cells is not counted twice; only the difference between machine types is added.
+    /// For a job with observed tasks, returns the location expected for the first one, plus the difference between the
+    /// machine types. The current estimate of the cells already contains the job's own observations, so that these
+    /// would be counted twice together with the effect of the job.
     fn base_location(&self, finest: &LevelEstimate, features: &TaskFeatures, job: &JobObservations) -> f64 {
         let Some(first) = &job.first else { return finest.location };
         if first.machine_type == features.machine_type {
--- a/crates/forecast/src/features.rs
+++ b/crates/forecast/src/features.rs
@@ -1,33 +1,34 @@
-//! The features of a task that its run time depends on, and the keys of the cells that they belong to.
+//! The features of a task that its run time depends on, and the keys of the cells that the task belongs to.
 
 use crate::run_time::Level;
 use crowstall_model::model::Name;
 use crowstall_model::time::Span;
 
-/// Run times and estimates are taken as no shorter than this, in seconds.
+/// Lower bound of run times and estimates before their logarithm is taken, in seconds.
 pub(crate) const MIN_SECONDS: f64 = 0.001;
-/// The number of levels of cells, from coarse to fine.
+/// Number of levels of cells.
 pub(crate) const LEVELS: usize = 4;
-/// The allocation of a name besides its text, in bytes.
+/// Allocation of a name in addition to its text, in bytes.
 const NAME_OVERHEAD: usize = 16;
-/// The size class of a job contains its number of tasks by factors of 2 to this power.
+/// Logarithm to base 2 of the factor between the numbers of tasks of neighbouring size classes.
 const LOG2_TASKS_PER_CLASS: u32 = 3;
-/// The range of the logarithm to base 2 of estimates.
+/// Lower bound of the logarithm to base 2 of an estimate in seconds.
 const MIN_LOG2_ESTIMATE: f64 = -20.0;
+/// Upper bound of the logarithm to base 2 of an estimate in seconds.
 const MAX_LOG2_ESTIMATE: f64 = 40.0;
 
-/// The features of a task that its run time depends on.
+/// Features of a task that its run time depends on.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TaskFeatures {
-    /// The team that owns the job.
+    /// Team that owns the job.
     pub team: Name,
-    /// The class of the job.
+    /// Class of the job.
     pub class: Name,
-    /// The type of the machine that the task runs on.
+    /// Type of the machine that the task runs on.
     pub machine_type: Name,
-    /// How many tasks the job has.
+    /// Number of tasks of the job.
     pub tasks: u32,
-    /// The owner's estimate of the run time; zero if there is none.
+    /// Owner's estimate of the run time; zero if there is none.
     pub estimate: Span,
 }
 
@@ -52,7 +53,7 @@
     }
 }
 
-/// The size class of a job: its number of tasks by factors of 8 and its estimate by factors of 2.
+/// Size class of a job: its number of tasks by factors of 8 and its estimate by factors of 2.
 ///
 /// The names of the fields are part of the snapshot format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, serde::Serialize, serde::Deserialize)]
@@ -71,23 +72,23 @@
     }
 }
 
-/// The key of a cell: what the tasks in the cell have in common, from coarse to fine.
+/// Key of a cell: the features that the tasks in the cell have in common, from coarse to fine.
 ///
-/// The names of the variants are part of the snapshot format, and their order that of the cells.
+/// The names of the variants are part of the snapshot format. Their order determines that of the cells in a learner.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, serde::Serialize, serde::Deserialize)]
 pub(crate) enum CellKey {
-    /// Nothing: the cell of all tasks.
+    /// Cell of all tasks.
     All,
-    /// The class.
+    /// Tasks of the same class.
     Class(Name),
-    /// Class and size.
+    /// Tasks of the same class and size class.
     Size(Name, SizeClass),
-    /// Team, class, machine type and size.
+    /// Tasks of the same team, class, machine type and size class.
     Kind(Name, Name, Name, SizeClass),
 }
 
 impl CellKey {
-    /// Returns the memory of the names in the key.
+    /// Returns the memory that the names in the key allocate, in bytes.
     pub fn heap_bytes(&self) -> usize {
         let bytes = |name: &Name| name.as_str().len() + NAME_OVERHEAD;
         match self {
--- a/crates/forecast/src/finish.rs
+++ b/crates/forecast/src/finish.rs
@@ -1,74 +1,76 @@
-//! The forecast of the time at which a job will be done, from run times, work ahead and available capacity.
+//! Forecasts of the time until a job is done, from run times, work ahead and available capacity.
 
 use crate::run_time::RunTimeForecast;
 use crowstall_model::time::Span;
 
-/// The distance of the interval's bounds from the median in standard deviations: one outcome in ten lies beyond each.
+/// Distance of the interval's bounds from the median, in standard deviations of the normal distribution. One outcome in
+/// ten lies beyond each bound.
 const BOUND_DEVIATIONS: f64 = 1.2816;
-/// The relative standard deviation of the work ahead if all run times were known: jobs that are submitted later may
-/// go first, and machines fail.
+/// Relative standard deviation of the work ahead. It would remain even if all run times were known, because jobs that
+/// are submitted later may go first and machines fail.
 const WORK_AHEAD_DEVIATION: f64 = 0.1;
-/// The smallest remaining time of a running task, as a fraction of the time it has run and of the mean run time.
+/// Minimum remaining time of a running task, as a fraction both of its elapsed time and of the mean run time.
 const MIN_REMAINING_FRACTION: f64 = 0.1;
-/// Tasks are taken as using no fewer CPUs than this.
+/// Lower bound of the CPUs of a task when the number of parallel tasks is computed, against a division by zero.
 const MIN_CPUS_PER_TASK: f64 = 1e-6;
-/// The largest number of parallel tasks that is distinguished.
+/// Upper bound of the number of parallel tasks.
 const MAX_PARALLEL_TASKS: f64 = 1e6;
 
 /// CPUs of machines that are booting.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BootingCapacity {
-    /// When the CPUs are expected to be available, counted from now.
+    /// Time from now until the CPUs are expected to be available.
     pub ready_in: Span,
-    /// How many CPUs.
+    /// Number of CPUs.
     pub cpus: f64,
 }
 
-/// The CPUs that a job's tasks can use.
+/// CPUs that the tasks of a job can use.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct AvailableCapacity {
     /// CPUs that are available now.
     pub cpus: f64,
-    /// CPUs that are booting, the soonest first.
+    /// CPUs of booting machines, ordered by [`BootingCapacity::ready_in`].
     pub booting: Vec<BootingCapacity>,
-    /// CPUs that the job may use at once: the quota of its team, or those of all its tasks.
+    /// Maximum number of CPUs that the job may use at once: the quota of its team, or the CPUs of all its tasks.
     pub max_cpus: f64,
 }
 
-/// What the forecast of a finish time is computed from.
+/// Inputs of the forecast of a finish time.
 #[derive(Clone, Debug)]
 pub struct FinishInputs<'a> {
-    /// The run time of one task.
+    /// Forecast run time of one task.
     pub run_time: RunTimeForecast,
-    /// How many CPUs one task uses.
+    /// Number of CPUs that one task uses.
     pub cpus_per_task: f64,
-    /// How many tasks are pending.
+    /// Number of pending tasks.
     pub pending: u32,
-    /// How long each running task has run.
+    /// Elapsed run time of each running task.
     pub running: &'a [Span],
-    /// The work that goes first, in CPU seconds: pending tasks ahead in the queue, and the rest of running ones.
+    /// Work that goes first, in CPU seconds: pending tasks ahead in the queue, and the rest of running ones.
     pub ahead_cpu_s: f64,
-    /// How long the fetch of a task's image takes.
+    /// Expected duration of the fetch of a task's image.
     pub image_fetch: Span,
-    /// The CPUs that the tasks can use.
+    /// CPUs that the tasks can use.
     pub capacity: &'a AvailableCapacity,
 }
 
-/// How long it takes until a job is done.
+/// Forecast of the time from now until a job is done.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FinishForecast {
-    /// The tenth percentile.
+    /// Tenth percentile.
     pub low: Span,
-    /// The median.
+    /// Median.
     pub median: Span,
-    /// The ninetieth percentile.
+    /// Ninetieth percentile.
     pub high: Span,
 }
 
-/// Forecasts when a job will be done, or returns `None` if no capacity is in sight.
+/// Forecasts the time until a job is done; returns `None` if neither available nor booting CPUs can run its pending
+/// tasks.
 ///
-/// More tasks, more work ahead, less capacity and a lower quota never make the time earlier, and the same inputs
-/// always give the same result.
+/// The forecast is monotone: more tasks, more work ahead, less capacity or a lower quota never make it earlier. The
+/// same inputs always give the same result.
 pub fn forecast_finish(inputs: &FinishInputs) -> Option<FinishForecast> {
     let low = finish_at(inputs, -BOUND_DEVIATIONS)?;
     let median = finish_at(inputs, 0.0)?;
@@ -93,7 +95,7 @@
     }
     let ahead = inputs.ahead_cpu_s * (1.0 + WORK_AHEAD_DEVIATION * deviations).max(0.0);
     let own = f64::from(inputs.pending) * inputs.cpus_per_task * mean;
-    // The work ahead uses all CPUs; then the job uses as many as it may.
+    // The work ahead uses all CPUs and the job starts after it, with as many CPUs as it may use.
     let start = work_done_at(capacity, ahead, f64::MAX, 0.0)?;
     let done = work_done_at(capacity, own, capacity.max_cpus, start)?;
     let image_fetch = inputs.image_fetch.as_secs();
@@ -103,8 +105,8 @@
 
 /// Returns the longest remaining time of the running tasks, in seconds.
 ///
-/// A task that has run longer than expected goes on in proportion to the time it has run, as is usual for
-/// long-tailed distributions.
+/// The remaining time of a task that has run longer than expected is taken as proportional to its elapsed time, as
+/// usual for long-tailed distributions.
 fn longest_remaining(running: &[Span], mean: f64) -> f64 {
     let remaining = |ran: &Span| {
         let ran = ran.as_secs();
@@ -113,13 +115,14 @@
     running.iter().map(remaining).fold(0.0, f64::max)
 }
 
+/// Returns the number of tasks that the job may run at once.
 fn max_parallel_tasks(inputs: &FinishInputs) -> u32 {
     let tasks = inputs.capacity.max_cpus / inputs.cpus_per_task.max(MIN_CPUS_PER_TASK);
     tasks.clamp(1.0, MAX_PARALLEL_TASKS) as u32
 }
 
-/// Returns when work in CPU seconds is done that starts at `start` and uses at most `max_cpus` at once; `None` if
-/// there are no CPUs for it.
+/// Returns the time, in seconds from now, at which `work` in CPU seconds is done if it starts at `start` and uses at
+/// most `max_cpus` at once; `None` if there are no CPUs for it.
 fn work_done_at(capacity: &AvailableCapacity, work: f64, max_cpus: f64, start: f64) -> Option<f64> {
     let (mut cpus, mut now, mut remaining) = (capacity.cpus, 0.0, work);
     let boots = capacity.booting.iter().map(|booting| (booting.ready_in.as_secs(), booting.cpus));
--- a/crates/forecast/src/learner.rs
+++ b/crates/forecast/src/learner.rs
@@ -1,4 +1,4 @@
-//! The learner: takes in completed and censored attempts and forecasts the run time of the next task.
+//! Learning of run times from completed and censored attempts, and forecasts for the next task.
 
 use crate::calibration::{Calibration, TAIL_PROBABILITY};
 use crate::cell::{Cell, CellObservation, DecayingMean};
@@ -9,65 +9,69 @@
 use crowstall_model::time::{Span, Time};
 use std::collections::BTreeMap;
 
-/// Standardized run times are limited to this distance from the location.
+/// Maximum distance of a standardized run time from the location, in standard deviations. Larger ones are clamped, so
+/// that a single outlier cannot move a cell far.
 const MAX_STANDARDIZED: f64 = 3.5;
-/// How many tasks of a job its mean residual remembers.
+/// Weight of tasks after which an older residual counts 1/e in the mean residual of its job.
 const JOB_MEMORY: f64 = 100.0;
-/// The weight of the observed tasks of a job from which on the next one contributes to the variance within the job.
+/// Minimum weight of the observed tasks of a job for the next one to contribute to the variance within the job.
 const MIN_JOB_WEIGHT: f64 = 0.5;
-/// The range of the logarithms of forecast run times.
+/// Lower bound of the logarithm of a forecast run time in seconds.
 const MIN_LOG_SECONDS: f64 = -7.0;
+/// Upper bound of the logarithm of a forecast run time in seconds.
 const MAX_LOG_SECONDS: f64 = 25.0;
-/// The largest variance that counts in the mean of a forecast.
+/// Maximum variance that enters the mean of a forecast. The mean of a log-normal distribution grows exponentially with
+/// its variance.
 const MAX_VARIANCE_OF_MEAN: f64 = 1.0;
-/// If memory runs out, one in so many cells is evicted at once, so that this is not repeated for each new cell.
+/// Reciprocal of the fraction of cells that an eviction removes at once. Evicting single cells would sort all cells
+/// again for each new one.
 const EVICTED_FRACTION: usize = 8;
 
-/// How an observed attempt ended.
+/// End of an observed attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// The attempt ran to its end.
     Completed,
-    /// The attempt was stopped, lost or still runs: its run time would have been at least as long.
+    /// The attempt was stopped or lost, or is still running. Its observed run time is a lower bound.
     Censored,
 }
 
 /// An observed attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct Attempt {
-    /// The time in which the attempt made progress, without image fetch, waiting and pauses of its machine.
+    /// Time in which the attempt made progress, excluding image fetch, waiting and pauses of its machine.
     pub run_time: Span,
-    /// How the attempt ended.
+    /// End of the attempt.
     pub outcome: Outcome,
 }
 
-/// What was observed of the tasks of one job.
+/// Observations of the tasks of one job.
 #[derive(Clone, Debug, Default)]
 pub struct JobObservations {
-    /// The first observed task.
+    /// First observed task; `None` before any task has been observed.
     pub(crate) first: Option<FirstTask>,
-    /// How many tasks were observed.
+    /// Number of observed tasks.
     pub(crate) tasks_seen: u32,
-    /// The differences between run times and the base location.
+    /// Mean difference between the logarithm of the run time and the location without the effect of the job.
     pub(crate) residuals: DecayingMean,
 }
 
-/// The first observed task of a job.
+/// First observed task of a job.
 #[derive(Clone, Debug)]
 pub(crate) struct FirstTask {
-    /// The type of the machine that the task ran on.
+    /// Type of the machine that the task ran on.
     pub machine_type: Name,
-    /// The location that was expected for the task.
+    /// Location that was expected for the task, as the logarithm of seconds.
     pub location: f64,
 }
 
-/// The limits of a learner.
+/// Limits of a learner.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// The memory that a learner may use, in bytes. The least useful cells are evicted first; their observations
-    /// remain in the coarser cells.
+    /// Maximum memory of a learner, in bytes. Beyond it the least useful cells are evicted; their observations remain
+    /// in the coarser cells.
     pub memory: usize,
-    /// After how long without new observations evidence counts half.
+    /// Time without new observations after which evidence counts half.
     pub half_life: Span,
 }
 
@@ -77,42 +81,42 @@
     }
 }
 
-/// Learns the run times of tasks from observed attempts.
+/// Statistical model of run times, updated with every observed attempt.
 #[derive(Clone, Debug)]
 pub struct Learner {
-    /// The cells in the order of their keys, so that the same history always gives the same result.
+    /// Cells, ordered by key so that the same history always gives the same result.
     pub(crate) cells: BTreeMap<CellKey, Box<Cell>>,
-    /// The memory of the cells.
+    /// Memory of the cells and their keys, in bytes.
     cell_bytes: usize,
     pub(crate) limits: Limits,
-    /// The calibration of the intervals.
+    /// Calibration of the intervals.
     pub calibration: Calibration,
-    /// How many attempts were learned by each learner whose observations are contained here; decides whether a
-    /// snapshot contains anything new.
+    /// Number of attempts by origin, that is, by the learner that observed them. Comparing the counts with those of a
+    /// snapshot shows whether the snapshot contains observations that are missing here.
     pub(crate) origins: BTreeMap<u64, u64>,
-    /// The origin of what this learner itself learns.
+    /// Origin of the attempts that this learner itself observes.
     own_origin: u64,
 }
 
-/// The bounds and the median of an interval; durations are logarithms of seconds.
+/// Bounds and median of an interval, as logarithms of seconds.
 struct LogInterval {
     low: f64,
     median: f64,
     high: f64,
 }
 
-/// The run time of an attempt, or its expectation if the attempt was censored.
+/// Run time of an attempt, or its expectation if the attempt was censored.
 struct ImputedRunTime {
-    /// The logarithm of the seconds.
+    /// Logarithm of the run time in seconds.
     log_seconds: f64,
-    /// How much the run time counts as evidence.
+    /// Evidence that the run time counts for: 1 for a completed attempt, less for a censored one.
     evidence: f64,
-    /// The standardized observed run time.
+    /// Standardized observed run time.
     standardized: f64,
 }
 
 impl Learner {
-    /// Creates a learner that has learned nothing.
+    /// Creates a learner without observations.
     ///
     /// `origin` must differ from that of every other learner whose snapshots may be merged with this one's.
     pub fn new(origin: u64, limits: Limits) -> Learner {
@@ -143,12 +147,14 @@
         }
     }
 
-    /// Learns from an attempt. The cost does not depend on how much was learned before.
+    /// Learns from an attempt. Unless cells have to be evicted, the cost does not grow with the number of earlier
+    /// attempts.
     pub fn learn(&mut self, features: &TaskFeatures, attempt: Attempt, job: &mut JobObservations, now: Time) {
         let log_seconds = attempt.run_time.as_secs().max(MIN_SECONDS).ln();
         let expectation = self.expect(features, job);
         let is_completed = attempt.outcome == Outcome::Completed;
-        // A large job must not outweigh all others: each further task adds less information.
+        // The tasks of a job are similar, so each further one adds less information. With equal weights a large job
+        // would outweigh all others.
         let weight = 1.0 / (1.0 + f64::from(job.tasks_seen) / 2.0);
         self.calibrate(&expectation, log_seconds, is_completed, weight);
         let imputed = impute(&expectation, log_seconds, is_completed);
@@ -188,13 +194,15 @@
         self.cell_bytes = self.cell_bytes + cell.bytes() - bytes_before;
     }
 
+    /// Judges the interval if the attempt completed, and adapts its widening.
     fn calibrate(&mut self, expectation: &Expectation, log_seconds: f64, is_completed: bool, weight: f64) {
         let LogInterval { low, median, high } = self.interval(expectation);
         let basis = expectation.basis.index();
         if is_completed {
             self.calibration.tallies[basis].judge(low.exp(), median.exp(), high.exp(), log_seconds.exp());
         }
-        // An attempt that was censored inside the interval might have ended inside or outside.
+        // A censored attempt counts only if it ran beyond the interval. Censored earlier, it might have ended inside or
+        // outside.
         if is_completed || log_seconds > high {
             self.calibration.widenings[basis].adapt(log_seconds < low, log_seconds > high, weight);
         }
@@ -211,14 +219,14 @@
         LogInterval { low: log_seconds(low), median: log_seconds(median), high: log_seconds(high) }
     }
 
-    /// Returns the memory in use, in bytes, as the sum of all parts.
+    /// Returns the memory in use, in bytes, as the sum over all cells, map entries and the learner itself.
     pub fn memory(&self) -> usize {
-        // The nodes of the map are at least half full.
+        // The nodes of a B-tree map are at least half full.
         let entry = 2 * size_of::<(CellKey, Box<Cell>)>();
         self.cell_bytes + self.cells.len() * entry + size_of::<Learner>()
     }
 
-    /// Returns how many kinds of work are distinguished.
+    /// Returns the number of cells, that is, of groups of similar tasks.
     pub fn kinds(&self) -> usize {
         self.cells.len()
     }
@@ -240,17 +248,18 @@
         }
     }
 
+    /// Recomputes the memory of the cells after cells were removed or merged.
     fn count_cell_bytes(&mut self) {
         self.cell_bytes = self.cells.iter().map(|(key, cell)| key.heap_bytes() + cell.bytes()).sum();
     }
 
-    /// Forgets all observations of a class. Its part in the cell of all tasks decays with time.
+    /// Removes the cells of a class. Its contribution to the cell of all tasks remains and decays with time.
     pub fn forget(&mut self, class: &Name) {
         self.cells.retain(|key, _| key.class() != Some(class));
         self.count_cell_bytes();
     }
 
-    /// Applies the memory limit after cells were merged.
+    /// Recomputes the memory after cells were merged, and applies the memory limit.
     pub(crate) fn cells_merged(&mut self, now: Time) {
         self.count_cell_bytes();
         self.evict(now);
@@ -259,7 +268,7 @@
 
 impl JobObservations {
     /// Returns the squared difference between a residual and the mean of the job's other tasks, scaled to the
-    /// variance within the job; `None` if too little is known of the other tasks.
+    /// variance within the job; `None` if the observed tasks have too little weight.
     fn within_job_square(&self, residual: f64) -> Option<f64> {
         let weight = self.residuals.weight;
         (weight > MIN_JOB_WEIGHT).then(|| {
@@ -279,7 +288,7 @@
     }
     let expected = survival.mean_beyond(standardized).min(MAX_STANDARDIZED);
     ImputedRunTime {
-        // Never shorter than what was observed.
+        // The observed run time is a lower bound.
         log_seconds: log_seconds.max(location + expected * scale),
         evidence: survival.cumulative_probability(standardized),
         standardized,
--- a/crates/forecast/src/lib.rs
+++ b/crates/forecast/src/lib.rs
@@ -1,15 +1,15 @@
-//! Forecasts how long tasks run and when jobs will be done.
+//! Forecasts of the run times of tasks and the finish times of jobs.
 //!
 //! - [`Learner`] learns from every attempt of a task, completed or censored, and forecasts the run time of the
 //!   next task as an interval, with the number of observations that the interval is based on.
-//! - [`forecast_finish`] turns that, the work ahead and the available capacity into a time at which a job will be
-//!   done; [`Promises`] keeps the promised times and judges them.
-//! - [`snapshot`] writes what was learned into a compact text and reads such texts again.
-//! - [`replay`] judges the forecasts on a recorded history, and [`synthetic`] generates histories for that.
+//! - [`forecast_finish`] computes the finish time of a job from the run-time forecast, the work ahead and the available
+//!   capacity; [`Promises`] keeps the promised finish times and judges them when jobs are done.
+//! - [`snapshot`] writes the observations of a learner into a compact text and restores them.
+//! - [`replay`] measures the accuracy of the forecasts on a recorded history, and [`synthetic`] generates histories.
 //!
-//! This crate does no input or output and reads no clock: callers pass the time. Durations are [`Span`]s unless a
-//! name says otherwise; internally, run times are natural logarithms of seconds, because the error of an estimate
-//! is a factor. `docs/forecast.md` explains the method.
+//! The crate does no input or output and reads no clock: callers pass the time. Durations are [`Span`]s unless a name
+//! contains a unit. Internally, run times are natural logarithms of seconds, because the error of an estimate is a
+//! factor. `docs/forecast.md` explains the method.
 
 #![warn(missing_docs)]
 
--- a/crates/forecast/src/promises.rs
+++ b/crates/forecast/src/promises.rs
@@ -1,4 +1,4 @@
-//! Promised finish times: made, revised, and judged when the job is done.
+//! Promised finish times: their revision, and their comparison with the actual finish time.
 
 use crate::calibration::{LogWidening, Tally};
 use crate::finish::FinishForecast;
@@ -6,60 +6,60 @@
 use crowstall_model::time::{Span, Time};
 use std::collections::HashMap;
 
-/// A promise is revised if the median moves by more than this fraction of the remaining time.
+/// Movement of the median beyond which a promise is revised, as a fraction of the remaining time.
 const REVISION_FRACTION: f64 = 0.2;
-/// A promise is not revised if the median moves by no more than this.
+/// Movement of the median up to which a promise is never revised.
 const MIN_REVISION: Span = Span::millis(1000);
 
-/// A finish time that was promised for a job.
+/// Finish time that was promised for a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Promise {
-    /// When the promise was made.
+    /// Time at which the promise was made.
     pub made: Time,
-    /// The tenth percentile of the finish time.
+    /// Tenth percentile of the finish time.
     pub low: Time,
-    /// The median of the finish time.
+    /// Median of the finish time.
     pub median: Time,
-    /// The promised time: the ninetieth percentile of the finish time.
+    /// Promised time: the ninetieth percentile of the finish time.
     pub by: Time,
-    /// How many earlier promises this one replaces.
+    /// Number of earlier promises for the same job that were replaced.
     pub revisions: u32,
 }
 
-/// A promise whose job is done.
+/// Promise whose job is done.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct JudgedPromise {
-    /// The first promise of the job.
+    /// First promise of the job.
     pub promise: Promise,
-    /// How long after the promised time the job was done; zero if the promise was kept.
+    /// Time from the promised time to the actual finish time; zero if the promise was kept.
     pub lateness: Span,
 }
 
-/// The promises of all jobs and how well promises were kept.
+/// Promises of all unfinished jobs, and counts of the kept ones.
 #[derive(Clone, Debug, Default)]
 pub struct Promises {
-    /// The newest promise of each job.
+    /// Promise in force of each job.
     open: HashMap<JobId, Promise>,
-    /// The calibration of the intervals.
+    /// Calibration of the intervals.
     widening: LogWidening,
-    /// The first promise of each job: users plan with that one, so it is judged.
+    /// First promise of each job. Users plan with it, so it is the one that is judged.
     first: HashMap<JobId, Promise>,
-    /// The judged promises.
+    /// Counts of judged promises.
     pub tally: Tally,
-    /// The lateness of all promises together.
+    /// Sum of the lateness of all judged promises.
     pub total_lateness: Span,
 }
 
 impl Promises {
-    /// Returns the newest promise of a job.
+    /// Returns the promise in force for a job; `None` if there is none.
     pub fn get(&self, job: &JobId) -> Option<Promise> {
         self.open.get(job).copied()
     }
 
     /// Promises a finish time and returns the promise in force.
     ///
-    /// An earlier promise remains in force unless its time is over or the median has moved by more than a fifth of
-    /// the remaining time and more than a second.
+    /// An earlier promise remains in force unless the promised time has passed, or the median has moved both by more
+    /// than a fifth of the remaining time and by more than a second.
     pub fn promise(&mut self, job: &JobId, finish: FinishForecast, now: Time) -> Promise {
         let old = self.get(job);
         let fresh = self.new_promise(finish, now);
@@ -73,7 +73,7 @@
         fresh
     }
 
-    /// Returns a first promise from a forecast, with calibrated bounds.
+    /// Returns a promise made from a forecast now, with calibrated bounds and without revisions.
     fn new_promise(&self, finish: FinishForecast, now: Time) -> Promise {
         let median = finish.median;
         let widened = |width: Span, log_widening: f64| width.times(log_widening.exp());
@@ -86,7 +86,8 @@
         }
     }
 
-    /// Judges the first promise of a job that is done; returns `None` if there was none.
+    /// Judges the first promise of a job that is done, and removes all of its promises; returns `None` if there was
+    /// none.
     pub fn job_done(&mut self, job: &JobId, now: Time) -> Option<JudgedPromise> {
         self.open.remove(job);
         let promise = self.first.remove(job)?;
@@ -99,19 +100,19 @@
         Some(JudgedPromise { promise, lateness })
     }
 
-    /// Removes the promises of a job that will not be done; they are not judged.
+    /// Removes the promises of a job that will not be done, without judging them.
     pub fn remove_job(&mut self, job: &JobId) {
         self.open.remove(job);
         self.first.remove(job);
     }
 
-    /// Returns how many jobs have a promise.
+    /// Returns the number of jobs with a promise.
     pub fn open_count(&self) -> usize {
         self.open.len()
     }
 }
 
-/// Whether a promise remains in force although `fresh` would be made now.
+/// Returns `true` if the promise `old` remains in force although `fresh` would be made now.
 fn still_holds(old: &Promise, fresh: &Promise, remaining: Span, now: Time) -> bool {
     let moved = old.median.since(fresh.median).max(fresh.median.since(old.median));
     now <= old.by && moved <= remaining.times(REVISION_FRACTION).max(MIN_REVISION)
--- a/crates/forecast/src/replay.rs
+++ b/crates/forecast/src/replay.rs
@@ -1,4 +1,5 @@
-//! Replay of a recorded history: each line is forecast from the earlier ones only, and learned afterwards.
+//! Replay of a recorded history: for each line, a forecast is made from the earlier lines only; then the line is
+//! learned.
 
 use crate::calibration::{MANY_OBSERVATIONS, Tally, is_within_quarter};
 use crate::features::TaskFeatures;
@@ -8,45 +9,45 @@
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 
-/// The largest number of seconds that a line may contain.
+/// Maximum time or duration in a line, in seconds.
 const MAX_SECONDS: f64 = 1e9;
-/// The longest name that a line may contain.
+/// Maximum length of a name in a line.
 const MAX_NAME_BYTES: usize = 200;
-/// How many jobs are distinguished at once.
+/// Maximum number of jobs whose observations are held at once.
 const MAX_JOBS: usize = 4096;
-/// After how many seconds without a line a job counts as over.
+/// Time without a line after which a job counts as done.
 const JOB_TIMEOUT_S: f64 = 3600.0;
-/// The origin of what the learner of a replay learns.
+/// Origin of the attempts that the learner of a replay observes.
 const REPLAY_ORIGIN: u64 = 1;
 
-/// One line of a history: an attempt of a task.
+/// Line of a history: an attempt of a task.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HistoryLine {
-    /// When the attempt ended, in seconds since the history began.
+    /// End of the attempt, in seconds since the history began.
     pub at_s: f64,
-    /// The team that owns the job.
+    /// Team that owns the job.
     pub team: String,
-    /// The class of the job.
+    /// Class of the job.
     pub class: String,
-    /// `type`: the type of the machine.
+    /// `type`: type of the machine.
     #[serde(rename = "type")]
     pub machine_type: String,
-    /// How many tasks the job has.
+    /// Number of tasks of the job.
     pub tasks: u32,
-    /// The owner's estimate of the run time in seconds; zero if there is none.
+    /// Owner's estimate of the run time, in seconds; zero if there is none.
     pub estimate_s: f64,
-    /// How long the attempt ran, in seconds.
+    /// Run time of the attempt, in seconds.
     pub ran_s: f64,
-    /// `end`: how the attempt ended.
+    /// `end`: outcome of the attempt.
     #[serde(rename = "end")]
     pub outcome: LineOutcome,
-    /// `truth_s`: the median of the distribution that a synthetic run time was drawn from. It is not learned, but
-    /// shows how accurate any predictor could have been.
+    /// `truth_s`: median of the distribution that a synthetic run time was drawn from, in seconds. The learner does not
+    /// see it; comparing it with the run times gives the accuracy that the best possible predictor would have.
     #[serde(rename = "truth_s", default, skip_serializing_if = "Option::is_none")]
     pub true_median_s: Option<f64>,
 }
 
-/// How the attempt of a line ended.
+/// Outcome of the attempt of a line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LineOutcome {
     /// `done`: the attempt ran to its end.
@@ -57,7 +58,7 @@
     Censored,
 }
 
-/// Why a line of a history cannot be used.
+/// Error of parsing or validating a line of a history.
 #[derive(Debug, thiserror::Error)]
 pub enum LineError {
     /// The line is not the JSON of an attempt.
@@ -66,15 +67,15 @@
     /// A number is negative, not finite or too large.
     #[error("{field}: {value} is not a number from 0 to 1e9")]
     NumberOutOfRange {
-        /// The field of the line.
+        /// Name of the field.
         field: &'static str,
-        /// The number.
+        /// Number in the line.
         value: f64,
     },
     /// A name is empty or too long.
     #[error("{field}: empty or longer than {MAX_NAME_BYTES} bytes")]
     InvalidName {
-        /// The field of the line.
+        /// Name of the field.
         field: &'static str,
     },
     /// The job has no tasks.
@@ -114,7 +115,7 @@
         }
     }
 
-    /// Returns the attempt.
+    /// Returns the attempt as a learner takes it.
     fn attempt(&self) -> Attempt {
         let outcome = match self.outcome {
             LineOutcome::Completed => Outcome::Completed,
@@ -124,31 +125,33 @@
     }
 }
 
-/// The result of a replay. Predictions are compared with the run times of completed attempts.
+/// Result of a replay. Predictions are compared with the run times of completed attempts; `within_quarter` counts those
+/// that were off by at most a quarter of the run time.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Summary {
-    /// How many lines were replayed.
+    /// Number of replayed lines.
     pub lines: u64,
-    /// How many attempts completed.
+    /// Number of completed attempts.
     pub completed: u64,
-    /// How many attempts were censored.
+    /// Number of censored attempts.
     pub censored: u64,
-    /// The intervals of forecasts based on fewer than 20 observations.
+    /// Counts of forecasts based on fewer than 20 observations.
     pub few_observations: Tally,
-    /// The intervals of forecasts based on 20 or more observations.
+    /// Counts of forecasts based on 20 or more observations.
     pub many_observations: Tally,
-    /// How often the owner's estimate was off by at most a quarter.
+    /// Number of run times of which the owner's estimate was off by at most a quarter.
     pub estimate_within_quarter: u64,
-    /// How many completed lines contain the true median.
+    /// Number of lines of completed attempts that contain the true median.
     pub with_true_median: u64,
-    /// How often the true median was off by at most a quarter.
+    /// Number of run times of which the true median was off by at most a quarter.
     pub true_median_within_quarter: u64,
-    /// How often the mean of the job's earlier run times and the estimate was off by at most a quarter.
+    /// Number of run times of which the mean of the job's earlier run times and the estimate was off by at most a
+    /// quarter.
     pub job_mean_within_quarter: u64,
 }
 
 impl Summary {
-    /// Returns the counts of all intervals.
+    /// Returns the counts of all forecasts.
     pub fn all(&self) -> Tally {
         let mut all = self.few_observations;
         all.merge(self.many_observations);
@@ -156,7 +159,7 @@
     }
 }
 
-/// What identifies a job in a history, which does not name jobs.
+/// Identification of a job by its features, because a history contains no job ids.
 #[derive(PartialEq, Eq, Hash)]
 struct JobKey {
     team: String,
@@ -176,11 +179,14 @@
     }
 }
 
+/// Job of a replay in progress.
 struct Job {
     observations: JobObservations,
-    /// The sum of the run times of the completed tasks, in seconds.
+    /// Sum of the run times of the completed tasks.
     run_time_sum_s: f64,
+    /// Number of completed tasks.
     completed: u32,
+    /// Time of the job's last line.
     last_line_s: f64,
 }
 
@@ -199,25 +205,26 @@
     }
 }
 
-/// A replay in progress.
+/// Replay in progress.
 ///
-/// Lines with the same team, class, number of tasks and estimate count as one job until as many tasks have completed
-/// as the job has.
+/// Lines with the same team, class, number of tasks and estimate count as one job until all of its tasks have
+/// completed, or no line of the job has come for an hour.
 pub struct Replay {
-    /// The learner that forecasts each line.
+    /// Learner that makes the forecasts.
     pub learner: Learner,
-    /// The result so far.
+    /// Result of the lines processed so far.
     pub summary: Summary,
     jobs: HashMap<JobKey, Job>,
 }
 
 impl Replay {
-    /// Creates a replay with a learner that has learned nothing.
+    /// Creates a replay with a learner without observations.
     pub fn new(limits: Limits) -> Replay {
         Replay { learner: Learner::new(REPLAY_ORIGIN, limits), summary: Summary::default(), jobs: HashMap::new() }
     }
 
-    /// Forecasts a line, compares the forecast with the outcome and learns from the line.
+    /// Processes a line: makes a forecast, compares it with the run time if the attempt completed, and learns the
+    /// attempt.
     pub fn process(&mut self, line: &HistoryLine) {
         self.limit_jobs(line.at_s);
         let job = self.jobs.entry(JobKey::new(line)).or_insert_with(|| Job::new(line.at_s));
@@ -238,6 +245,7 @@
         self.learner.learn(&line.features(), line.attempt(), &mut job.observations, now);
     }
 
+    /// Removes the jobs without recent lines if the maximum number is reached, or all jobs if too many are left.
     fn limit_jobs(&mut self, now_s: f64) {
         if self.jobs.len() >= MAX_JOBS {
             self.jobs.retain(|_, job| job.is_recent(now_s));
--- a/crates/forecast/src/run_time.rs
+++ b/crates/forecast/src/run_time.rs
@@ -1,12 +1,13 @@
-//! The forecast of a run time.
+//! Run-time forecasts.
 
 use crowstall_model::time::Span;
 
-/// How similar the observed attempts are that a forecast is based on.
+/// Similarity of the observed attempts that a forecast is based on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Level {
-    /// No similar attempt was observed: the forecast is based on the owner's estimate and the errors of estimates.
+    /// No completed attempt of the class: the forecast is based on the owner's estimate and the observed errors of all
+    /// estimates.
     Estimate,
     /// Attempts of the same class.
     Class,
@@ -16,36 +17,37 @@
     Kind,
 }
 
-/// The forecast of the run time of a task.
+/// Forecast of the run time of a task.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RunTimeForecast {
-    /// The tenth percentile.
+    /// Tenth percentile.
     pub low: Span,
-    /// The median.
+    /// Median.
     pub median: Span,
-    /// The ninetieth percentile.
+    /// Ninetieth percentile.
     pub high: Span,
-    /// The mean.
+    /// Mean.
     pub mean: Span,
-    /// On how many completed attempts the forecast is based.
+    /// Number of completed attempts that the forecast is based on.
     pub observations: u64,
-    /// How similar those attempts were.
+    /// Similarity of these attempts.
     pub level: Level,
-    /// The standard deviation of the logarithm that all tasks of a job share.
+    /// Standard deviation of the effect that all tasks of a job share, of the logarithm of the run time.
     pub shared_deviation: f64,
-    /// The standard deviation of the logarithm between the tasks of a job.
+    /// Standard deviation between the tasks of a job, of the logarithm of the run time.
     pub task_deviation: f64,
 }
 
 impl RunTimeForecast {
-    /// Returns the mean run time of the tasks of a job, in seconds, if what these share lies `deviations` standard
-    /// deviations from its median.
+    /// Returns the mean run time of the tasks of a job, in seconds, if the effect that they share lies `deviations`
+    /// standard deviations from its median.
     pub fn mean_at(&self, deviations: f64) -> f64 {
         let log_mean_over_median = self.task_deviation * self.task_deviation / 2.0;
         self.median.as_secs() * (self.shared_deviation * deviations + log_mean_over_median).exp()
     }
 
-    /// Returns how much longer than the mean the longest of `tasks` parallel tasks is expected to run, in seconds.
+    /// Returns the expected difference between the longest of `tasks` parallel tasks and their mean, in seconds, with
+    /// the same meaning of `deviations` as in [`RunTimeForecast::mean_at`].
     ///
     /// Uses the approximation of the largest normal order statistic by G. Blom (1958).
     pub fn longest_over_mean(&self, tasks: u32, deviations: f64) -> f64 {
@@ -57,8 +59,8 @@
     }
 }
 
-/// Returns a quantile of the standard normal distribution, to 5e-4 (M. Abramowitz and I. Stegun, "Handbook of
-/// Mathematical Functions", 1964, 26.2.23).
+/// Returns a quantile of the standard normal distribution, with an error of at most 5e-4 (M. Abramowitz and I. Stegun,
+/// "Handbook of Mathematical Functions", 1964, 26.2.23).
 fn normal_quantile(probability: f64) -> f64 {
     let probability = probability.clamp(1e-9, 1.0 - 1e-9);
     let tail = probability.min(1.0 - probability);
--- a/crates/forecast/src/sample.rs
+++ b/crates/forecast/src/sample.rs
@@ -1,20 +1,20 @@
-//! A weighted sample of values of which some are censored, that is, only known to be "at least this much".
+//! A weighted sample of values of which some are censored, that is, only a lower bound is known.
 //!
 //! The values are kept as a few centroids of a t-digest (T. Dunning, "The t-digest: efficient estimates of
 //! distributions", 2021).
 
 use tdigests::{Centroid, TDigest};
 
-/// How many centroids of completed values are kept.
+/// Number of centroids of completed values after compression.
 const MAX_COMPLETED_CENTROIDS: usize = 12;
-/// How many centroids of censored values are kept.
+/// Number of centroids of censored values after compression.
 const MAX_CENSORED_CENTROIDS: usize = 5;
-/// How many more centroids may accumulate before they are compressed.
+/// Number of further centroids that accumulate before they are compressed.
 const BUFFERED_CENTROIDS: usize = 8;
-/// Centroids of less weight are removed.
+/// Minimum weight of a centroid; lighter ones are removed at the next compression.
 const MIN_CENTROID_WEIGHT: f64 = 1e-9;
 
-/// A sample of completed and censored values.
+/// Sample of completed and censored values.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct CensoredSample {
     /// Values that are known exactly.
@@ -24,7 +24,7 @@
 }
 
 impl CensoredSample {
-    /// Adds a value.
+    /// Adds a value, which is a lower bound unless `is_completed`.
     pub fn add(&mut self, value: f64, weight: f64, is_completed: bool) {
         let (centroids, max_centroids) = if is_completed {
             (&mut self.completed, MAX_COMPLETED_CENTROIDS)
@@ -54,17 +54,19 @@
         }
     }
 
-    /// Returns the weight of all values together.
+    /// Returns the total weight of all values.
     pub fn weight(&self) -> f64 {
         self.completed.iter().chain(&self.censored).map(|centroid| centroid.weight).sum()
     }
 
-    /// Returns the memory of the centroids.
+    /// Returns the memory of the centroids, in bytes.
     pub fn heap_bytes(&self) -> usize {
         (self.completed.capacity() + self.censored.capacity()) * size_of::<Centroid>()
     }
 }
 
+/// Removes centroids without weight or with a value that is not finite, and merges the others into at most
+/// `max_centroids`.
 fn compress(centroids: &mut Vec<Centroid>, max_centroids: usize) {
     centroids.retain(|centroid| centroid.weight > MIN_CENTROID_WEIGHT && centroid.mean.is_finite());
     if centroids.len() > max_centroids {
--- a/crates/forecast/src/snapshot.rs
+++ b/crates/forecast/src/snapshot.rs
@@ -1,11 +1,11 @@
-//! Snapshots: what a learner has learned as a compact text.
+//! Snapshots: the observations of a learner as a compact text.
 //!
 //! ```text
 //! base64( "CF" version:u8 crc32:u32be deflate( cbor( body ) ) )
 //! ```
 //!
-//! The checksum is that of the compressed bytes. A text that is truncated, damaged, of another version or not a
-//! snapshot is refused as a whole.
+//! The checksum covers the compressed bytes. A text that is truncated, damaged, of another version or not a snapshot is
+//! refused as a whole.
 
 use crate::calibration::{BASES, LogWidening, MAX_LOG_WIDENING};
 use crate::cell::{Cell, DecayingMean};
@@ -24,28 +24,30 @@
 use std::io::{Read, Write};
 use tdigests::Centroid;
 
-/// The first bytes of a snapshot.
+/// First bytes of a snapshot.
 const MAGIC: &[u8; 2] = b"CF";
-/// The version of the format, raised whenever the meaning of the body changes.
+/// Version of the format, incremented with each change of the body's meaning.
 const VERSION: u8 = 1;
-/// The position of the version in the header.
+/// Offset of the version in the header.
 const VERSION_AT: usize = 2;
-/// The position of the checksum in the header.
+/// Offset of the checksum in the header.
 const CHECKSUM_AT: usize = 3;
-/// The length of the header.
+/// Length of the header.
 const HEADER_BYTES: usize = 7;
-/// A larger body is not unpacked: no learner within sensible limits has so much to say.
+/// Maximum length of a decompressed body, so that a malformed text cannot exhaust memory. No learner within sensible
+/// limits needs as much.
 const MAX_BODY_BYTES: u64 = 8 << 20;
-/// How deeply the body may be nested.
+/// Maximum nesting depth of the body.
 const MAX_BODY_DEPTH: usize = 16;
-/// Values of centroids are stored in thousandths, which is finer than anything that is learned.
+/// Units per 1 of the stored values of centroids. The resolution of a thousandth is finer than the accuracy of any
+/// forecast.
 const VALUE_UNITS: f64 = 1000.0;
-/// Weights of centroids are stored in 64ths.
+/// Units per 1 of the stored weights of centroids.
 const WEIGHT_UNITS: f64 = 64.0;
-/// The largest stored weight, in its unit.
+/// Maximum stored weight of a centroid, in units of 1/64.
 const MAX_STORED_WEIGHT: f64 = 65_535.0;
 
-/// Why a text cannot be read as a snapshot.
+/// Error of reading a text as a snapshot.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SnapshotError {
     /// The text is damaged or not a snapshot.
@@ -56,7 +58,7 @@
     UnsupportedVersion(u8),
 }
 
-/// What is wrong with a damaged snapshot.
+/// Kind of damage of a text that should be a snapshot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Damage {
     /// The text is not base 64.
@@ -65,7 +67,7 @@
     /// The text is shorter than the header.
     #[error("too short")]
     TooShort,
-    /// The text does not begin like a snapshot.
+    /// The text does not begin with the first bytes of a snapshot.
     #[error("not a snapshot")]
     NotASnapshot,
     /// The checksum does not match.
@@ -74,36 +76,38 @@
     /// The body cannot be decompressed.
     #[error("can't be unpacked")]
     Compression,
-    /// The body is not the expected CBOR.
+    /// The body is not CBOR with the expected fields, or it is longer than the limit.
     #[error("its body can't be read")]
     Body,
-    /// A number is outside its range.
+    /// A number is not finite or outside its range, or there are too many widenings.
     #[error("its numbers make no sense")]
     NumberOutOfRange,
 }
 
-/// What merging a snapshot did.
+/// Result of merging a snapshot into a learner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MergeOutcome {
     /// The observations of the snapshot were added.
     Added,
-    /// The learner contains all observations of the snapshot already.
+    /// Nothing was added, because the learner already contains all observations of the snapshot.
     Contained,
-    /// The learner contains some observations of the snapshot, and they cannot be told apart. Nothing was added:
-    /// observations may be missing, but none counts twice.
+    /// Nothing was added, because the learner already contains some observations of the snapshot, and these cannot be
+    /// told apart from the others. Observations may be missing then, but none counts twice.
     Overlaps,
 }
 
-/// The body of a snapshot. The names of the fields are part of the format.
+/// Body of a snapshot. The names of the fields are part of the format.
 #[derive(Serialize, Deserialize)]
 struct Body {
+    /// Number of attempts by origin; see [`Learner::origins`].
     origins: BTreeMap<u64, u64>,
-    /// The widenings of the intervals, low and high, by basis.
+    /// Widenings of the intervals, low and high, by basis.
     #[serde(rename = "stretch")]
     widenings: Vec<(f32, f32)>,
     cells: Vec<StoredCell>,
 }
 
+/// Cell as a snapshot stores it. The names of the fields are part of the format.
 #[derive(Serialize, Deserialize)]
 struct StoredCell {
     key: CellKey,
@@ -120,7 +124,7 @@
 #[derive(Serialize, Deserialize)]
 struct StoredCentroid(i16, u16);
 
-/// The numbers of a cell, stored as an array in the order of the fields.
+/// Numbers of a cell, stored as an array in the order of the fields.
 #[derive(Clone, Copy, Serialize, Deserialize)]
 #[serde(from = "[f32; 10]", into = "[f32; 10]")]
 struct StoredNumbers {
@@ -183,7 +187,7 @@
 }
 
 impl StoredNumbers {
-    /// Whether all numbers are finite and those that cannot be negative are not.
+    /// Returns `true` if all numbers are finite, and those that must not be negative are not.
     fn are_valid(&self) -> bool {
         let non_negative = [
             self.weight,
@@ -211,7 +215,8 @@
 }
 
 impl StoredCell {
-    /// Stores a cell decayed to now, because the clock of the reader is a different one.
+    /// Creates the stored form of a cell, with the decay up to `now` applied: the reader's clock is a different one, so
+    /// the time of the last decay would mean nothing there.
     fn new(key: &CellKey, cell: &Cell, now: Time, half_life: Span) -> StoredCell {
         let mut cell = cell.clone();
         cell.decay(now, half_life);
@@ -235,6 +240,7 @@
         }
     }
 
+    /// Returns the cell; its decay continues from `now`.
     fn restore(&self, now: Time) -> Cell {
         let numbers = &self.numbers;
         Cell {
@@ -262,13 +268,13 @@
     }
 }
 
-/// Stores centroids except those whose weight is rounded to zero.
+/// Returns the stored form of centroids, without those whose weight is rounded down to zero.
 fn stored_centroids(centroids: &[Centroid]) -> Vec<StoredCentroid> {
     centroids.iter().map(StoredCentroid::new).filter(|stored| stored.1 > 0).collect()
 }
 
 impl Body {
-    /// Whether all numbers are in their ranges.
+    /// Returns `true` if all numbers are in their ranges.
     fn is_valid(&self) -> bool {
         let widenings_are_finite = self.widenings.iter().all(|(low, high)| low.is_finite() && high.is_finite());
         let cells_are_valid = self.cells.iter().all(|cell| cell.numbers.are_valid());
@@ -276,27 +282,27 @@
     }
 }
 
-/// A snapshot that was read and validated.
+/// Snapshot that was read and validated.
 pub struct Snapshot(Body);
 
 impl Snapshot {
-    /// Returns how many attempts the snapshot contains.
+    /// Returns the number of attempts that the snapshot contains.
     pub fn attempts(&self) -> u64 {
         self.0.origins.values().sum()
     }
 
-    /// Returns how many kinds of work the snapshot distinguishes.
+    /// Returns the number of cells, that is, of groups of similar tasks.
     pub fn kinds(&self) -> usize {
         self.0.cells.len()
     }
 }
 
-/// Writes a snapshot of at most `max_bytes`, without the least useful fine cells if there is not room for all.
+/// Writes a snapshot of at most `max_bytes`. If not all cells fit, the least useful fine ones are left out first.
 ///
 /// Returns `None` if not even the coarsest cell fits.
 pub fn write(learner: &Learner, now: Time, max_bytes: usize) -> Option<String> {
     let cells = cells_by_usefulness(learner, now);
-    // Each attempt costs as much as the cells that it packs, so the largest count that fits is found by bisection.
+    // Packing is expensive, so the largest number of cells that fits is found by bisection.
     let mut largest_fit: Option<(usize, String)> = None;
     let mut too_many = cells.len() + 1;
     let mut count = cells.len();
@@ -315,7 +321,8 @@
     }
 }
 
-/// Returns the cells in the order in which they are kept: the two coarsest levels first, then by usefulness.
+/// Returns the cells ordered by their priority in a snapshot of limited size: the two coarsest levels first, then
+/// the others, and within each of these groups by decreasing usefulness.
 fn cells_by_usefulness(learner: &Learner, now: Time) -> Vec<(&CellKey, &Cell)> {
     let mut cells: Vec<(&CellKey, &Cell)> = learner.cells.iter().map(|(key, cell)| (key, &**cell)).collect();
     let usefulness = |cell: &Cell| cell.usefulness(now, learner.limits.half_life);
@@ -327,6 +334,7 @@
     cells
 }
 
+/// Returns the text of a snapshot with these cells.
 fn pack(learner: &Learner, cells: &[(&CellKey, &Cell)], now: Time) -> String {
     let half_life = learner.limits.half_life;
     let stored_widening = |widening: &LogWidening| (widening.low as f32, widening.high as f32);
@@ -345,8 +353,8 @@
 
 /// Returns the body as compressed CBOR.
 ///
-/// Neither writing to a vector nor serializing these types can fail. If it did, the result would be empty, which
-/// readers refuse.
+/// Neither writing to a vector nor serializing these types can fail. In case of an error the result would be empty,
+/// which readers refuse.
 fn compress(body: &Body) -> Vec<u8> {
     let mut cbor = Vec::new();
     let mut encoder = DeflateEncoder::new(Vec::new(), Compression::best());
@@ -382,8 +390,8 @@
 }
 
 impl Learner {
-    /// Adds the observations of a snapshot unless the learner contains some of them already, so that each attempt
-    /// counts once.
+    /// Adds the observations of a snapshot unless the learner already contains some of them, so that no attempt counts
+    /// twice. A learner without observations also takes over the widenings.
     pub fn merge(&mut self, snapshot: &Snapshot, now: Time) -> MergeOutcome {
         let Snapshot(body) = snapshot;
         let known = |origin: &u64| self.origins.get(origin).copied().unwrap_or(0);
--- a/crates/forecast/src/survival.rs
+++ b/crates/forecast/src/survival.rs
@@ -1,23 +1,25 @@
-//! The survival function of several pooled samples with censored values.
+//! Survival function of several pooled samples with censored values.
 
 use crate::sample::CensoredSample;
 use tdigests::Centroid;
 
-/// A discrete approximation of the standard normal distribution: values and their probabilities.
+/// Values of a discrete approximation of the standard normal distribution.
 const NORMAL_VALUES: [f64; 11] = [-2.4, -1.7, -1.2, -0.8, -0.4, 0.0, 0.4, 0.8, 1.2, 1.7, 2.4];
+/// Probability of each of the [`NORMAL_VALUES`].
 const NORMAL_PROBABILITIES: [f64; 11] = [0.02, 0.05, 0.09, 0.13, 0.15, 0.12, 0.15, 0.13, 0.09, 0.05, 0.02];
-/// Smaller probabilities are treated as zero.
+/// Probability below which a tail counts as empty; also the lower bound of tail probabilities in quotients.
 const MIN_PROBABILITY: f64 = 1e-6;
-/// Narrower steps are treated as having no width.
+/// Minimum distance between the midpoints of two steps; across less, no interpolation is made.
 const MIN_STEP_WIDTH: f64 = 1e-12;
-/// Below this probability no mean beyond a value can be computed.
+/// Minimum probability of a tail for its mean to be computed.
 const MIN_TAIL_PROBABILITY: f64 = 1e-9;
-/// How far beyond the last observed value the censored rest is assumed to lie, on average.
+/// Assumed mean distance of the values beyond the last step from the last completed value or the given
+/// one, whichever is larger, in standard deviations.
 const MEAN_EXCESS_OF_REST: f64 = 0.5;
-/// How far beyond a value the mean is assumed to lie if nothing was observed there.
+/// Assumed mean distance of the values beyond a given one if none was observed there, in standard deviations.
 const DEFAULT_MEAN_EXCESS: f64 = 0.25;
 
-/// A weighted value of a pooled sample.
+/// Weighted value of a pooled sample.
 #[derive(Clone, Copy, Debug)]
 struct Point {
     value: f64,
@@ -25,14 +27,14 @@
     is_completed: bool,
 }
 
-/// Several samples taken as one, each with a limited weight.
+/// Union of several samples, each with a limited weight.
 #[derive(Default)]
 pub(crate) struct PooledSample {
     points: Vec<Point>,
 }
 
 impl PooledSample {
-    /// Adds a sample with at most `max_weight` in total.
+    /// Adds a sample, scaled down to a total weight of `max_weight` if it has more.
     pub fn add(&mut self, sample: &CensoredSample, max_weight: f64) {
         let weight = sample.weight();
         if weight <= 0.0 {
@@ -48,7 +50,7 @@
         self.points.extend(sample.censored.iter().map(|centroid| point(centroid, false)));
     }
 
-    /// Adds the standard normal distribution with this weight.
+    /// Adds the standard normal distribution with a total weight of `weight`.
     pub fn add_normal(&mut self, weight: f64) {
         for (value, probability) in NORMAL_VALUES.into_iter().zip(NORMAL_PROBABILITIES) {
             self.points.push(Point { value, weight: weight * probability, is_completed: true });
@@ -56,7 +58,8 @@
     }
 
     /// Returns the product-limit estimate of the survival function (E. Kaplan and P. Meier, "Nonparametric
-    /// estimation from incomplete observations", 1958): a censored value is at risk up to where it was censored.
+    /// estimation from incomplete observations", 1958): a censored value is in the risk set up to the value at
+    /// which it was censored.
     pub fn survival_function(mut self) -> SurvivalFunction {
         self.points.sort_by(|a, b| a.value.total_cmp(&b.value).then(b.is_completed.cmp(&a.is_completed)));
         let mut at_risk: f64 = self.points.iter().map(|point| point.weight).sum();
@@ -78,24 +81,25 @@
     }
 }
 
-/// A step of the survival function.
+/// Step of a survival function.
 struct Step {
     value: f64,
-    /// The probability of this value.
+    /// Probability of the value.
     probability: f64,
-    /// The cumulative probability at the middle of the step.
+    /// Cumulative probability at the middle of the step.
     midpoint: f64,
 }
 
-/// An estimated survival function.
+/// Estimated survival function.
 pub(crate) struct SurvivalFunction {
     steps: Vec<Step>,
-    /// The probability beyond the last step, where all values are censored.
+    /// Probability beyond the last step, where all values are censored.
     rest: f64,
 }
 
 impl SurvivalFunction {
-    /// Returns the quantile at `probability`, interpolated between the steps and extrapolated beyond the last one.
+    /// Returns the quantile at `probability`, interpolated between the steps and extrapolated beyond the last one; 0 if
+    /// there are no steps.
     pub fn quantile(&self, probability: f64) -> f64 {
         let Some(first) = self.steps.first() else { return 0.0 };
         match self.steps.iter().position(|step| step.midpoint >= probability) {
@@ -105,8 +109,9 @@
         }
     }
 
-    /// Returns the quantile at a probability beyond the last step: the value grows by 1, a standard deviation, for
-    /// each factor e by which the survival probability falls.
+    /// Returns the quantile at a probability beyond the last step. If censored values remain there, the quantile grows
+    /// by one standard deviation for each factor e by which the survival probability falls; otherwise it is the last
+    /// value.
     fn extrapolate(&self, last: &Step, probability: f64) -> f64 {
         let rest = (1.0 - last.midpoint).max(MIN_PROBABILITY);
         let excess = if self.rest > MIN_PROBABILITY {
@@ -136,6 +141,7 @@
     }
 }
 
+/// Returns the value at `probability` by linear interpolation between two steps.
 fn interpolate(before: &Step, after: &Step, probability: f64) -> f64 {
     let width = after.midpoint - before.midpoint;
     let part = if width > MIN_STEP_WIDTH { (probability - before.midpoint) / width } else { 1.0 };
--- a/crates/forecast/src/synthetic.rs
+++ b/crates/forecast/src/synthetic.rs
@@ -1,101 +1,105 @@
-//! A generator of synthetic histories.
+//! Generator of synthetic histories.
 //!
-//! The histories contain what makes forecasts hard: estimates that are wrong from job to job and biased in one
-//! direction for hours, machines of two types, classes that appear or change their speed, and zone outages that
-//! censor many attempts at once.
+//! The histories contain the difficulties of real ones: estimates that differ from the run times by a random factor per
+//! job and are biased in one direction for hours, machines of two types, classes that appear or change their speed, and
+//! zone outages that censor many attempts at once.
 
 use crate::replay::{HistoryLine, LineOutcome};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, Normal};
 
-/// The standard deviation of the logarithm of run times between the tasks of a job, which no predictor can know.
+/// Standard deviation of the logarithm of run times between the tasks of a job. No predictor can avoid this error.
 const TASK_DEVIATION: f64 = 0.15;
-/// The standard deviation of the logarithm of run times between the jobs of a class.
+/// Standard deviation of the logarithm of run times between the jobs of a class.
 const JOB_DEVIATION: f64 = 0.4;
-/// The standard deviation of the logarithm of the owners' estimates.
+/// Standard deviation of the logarithm of the owners' estimates.
 const ESTIMATE_DEVIATION: f64 = 0.45;
-/// The standard deviation of the logarithm of the number of tasks of a job.
+/// Standard deviation of the logarithm of the number of tasks of a job.
 const TASK_COUNT_DEVIATION: f64 = 0.6;
-/// The standard deviation of the logarithm of a change of speed.
+/// Standard deviation of the logarithm of a change of speed.
 const SPEED_CHANGE_DEVIATION: f64 = 0.7;
 const DAY_S: f64 = 86_400.0;
-/// For how long the estimates are biased in the same way.
+/// Length of the periods in which all estimates have the same bias.
 const BIAS_PERIOD_S: f64 = DAY_S / 4.0;
-/// The biases of the estimates, as logarithms.
+/// Biases of the estimates, as logarithms of factors.
 const BIASES: [f64; 4] = [0.0, 0.5, -0.5, 0.2];
-/// The probability that a zone outage begins with a line.
+/// Probability per line that a zone outage begins.
 const OUTAGE_PROBABILITY: f64 = 0.001;
 const OUTAGE_S: f64 = 60.0;
-/// The probabilities that an attempt is censored, during an outage and otherwise.
+/// Probability that an attempt is censored during an outage.
 const CENSORED_IN_OUTAGE: f64 = 0.4;
+/// Probability that an attempt is censored outside outages.
 const CENSORED_OTHERWISE: f64 = 0.02;
 const CLASSES: usize = 8;
-/// The speed of one in so many classes changes.
+/// Reciprocal of the fraction of classes whose speed changes.
 const CLASSES_PER_SPEED_CHANGE: usize = 3;
-/// Classes from this number on appear during the history.
+/// Number of classes that exist from the beginning of the history; the others appear later.
 const CLASSES_AT_START: usize = 5;
 const TEAMS: usize = 3;
+/// Number of unfinished jobs that the next attempt is drawn from.
 const JOBS_AT_ONCE: usize = 12;
-/// The typical numbers of tasks of a job.
+/// Typical numbers of tasks of a job, one of which is drawn for each class.
 const TASK_COUNTS: [u32; 5] = [1, 4, 12, 40, 150];
 const MACHINE_TYPES: [MachineType; 2] =
     [MachineType { name: "small", log_factor: 0.0 }, MachineType { name: "large", log_factor: -0.22 }];
 
 struct MachineType {
     name: &'static str,
-    /// The logarithm of the factor of the run times on this type.
+    /// Logarithm of the factor by which run times are longer on this type.
     log_factor: f64,
 }
 
-/// A change of the speed of a class.
+/// Change of the speed of a class.
 struct SpeedChange {
     at_s: f64,
-    /// The logarithm of the factor of the run times.
+    /// Logarithm of the factor by which run times are longer after the change; 0 for a class without a change.
     log_factor: f64,
 }
 
 struct Class {
     name: String,
     team: String,
-    /// The logarithm of the median run time.
+    /// Logarithm of the median run time, in seconds, before the change of speed.
     log_median: f64,
-    /// The typical number of tasks of a job.
+    /// Typical number of tasks of a job.
     tasks: u32,
-    /// When jobs of the class are first submitted.
+    /// Time from which jobs of the class are submitted.
     since_s: f64,
     speed_change: SpeedChange,
 }
 
 struct Job {
+    /// Index of the class.
     class: usize,
     tasks: u32,
     estimate_s: f64,
-    /// The logarithm of the median run time of the tasks.
+    /// Logarithm of the median run time of the tasks, in seconds.
     log_median: f64,
     remaining_tasks: u32,
 }
 
-/// Generates the lines of a synthetic history; the same seed always gives the same lines.
+/// Iterator over the lines of a synthetic history. The same seed always gives the same lines, and the lines never end.
 pub struct HistoryGenerator {
     rng: SmallRng,
     classes: Vec<Class>,
     jobs: Vec<Job>,
     now_s: f64,
-    /// The bias of all estimates in the current period, as a logarithm.
+    /// Bias of all estimates in the current period, as the logarithm of a factor.
     bias: f64,
-    /// The number of the current period of biased estimates, if one has begun.
+    /// Number of the current period of biased estimates; `None` before the first line.
     bias_period: Option<u64>,
     outage_until_s: f64,
 }
 
+/// Draws from the normal distribution with mean 0.
 fn normal(rng: &mut SmallRng, deviation: f64) -> f64 {
     Normal::new(0.0, deviation).map_or(0.0, |normal| normal.sample(rng))
 }
 
 impl Class {
     fn new(number: usize, rng: &mut SmallRng) -> Class {
-        // The order of the fields is that of the random numbers.
+        // The initializers draw random numbers: another order of the fields would change the histories of all seeds.
         Class {
             name: format!("class-{number}"),
             team: format!("team-{}", number % TEAMS),
@@ -113,14 +117,14 @@
         }
     }
 
-    /// Returns the logarithm of the factor by which the speed has changed.
+    /// Returns the logarithm of the factor by which run times have become longer up to `now_s`.
     fn speed_change_at(&self, now_s: f64) -> f64 {
         if now_s >= self.speed_change.at_s { self.speed_change.log_factor } else { 0.0 }
     }
 }
 
 impl HistoryGenerator {
-    /// Creates the generator of the history of a seed.
+    /// Creates the generator of the history of `seed`.
     pub fn new(seed: u64) -> HistoryGenerator {
         let mut rng = SmallRng::seed_from_u64(seed);
         let classes = (0..CLASSES).map(|number| Class::new(number, &mut rng)).collect();
@@ -155,7 +159,7 @@
         let class = &self.classes[index];
         let speed_change = class.speed_change_at(self.now_s);
         let log_median = class.log_median + speed_change + normal(&mut self.rng, JOB_DEVIATION);
-        // Owners do not know yet that the speed has changed.
+        // Estimates do not follow a change of speed: they are made from the run times before it.
         let log_estimate = log_median - speed_change + self.bias + normal(&mut self.rng, ESTIMATE_DEVIATION);
         let task_factor = normal(&mut self.rng, TASK_COUNT_DEVIATION).exp();
         let tasks = (f64::from(class.tasks) * task_factor).ceil().max(1.0) as u32;
@@ -163,7 +167,7 @@
         self.jobs.push(Job { class: index, tasks, estimate_s, log_median, remaining_tasks: tasks });
     }
 
-    /// Ends an attempt of a random job.
+    /// Draws an attempt of a random job and returns its line; a censored attempt leaves its task to be repeated.
     fn end_attempt(&mut self) -> HistoryLine {
         let index = self.rng.random_range(0..self.jobs.len());
         let machine_type = &MACHINE_TYPES[self.rng.random_range(0..MACHINE_TYPES.len())];
--- a/crates/forecast/tests/properties/finish_times.rs
+++ b/crates/forecast/tests/properties/finish_times.rs
@@ -1,4 +1,4 @@
-//! Forecasts of finish times and promises.
+//! Forecasts of finish times, and promises.
 
 use crate::support::{features, forecast, learner_with, log_normal};
 use crowstall_forecast::{
@@ -74,7 +74,7 @@
         let job = JobId::new(&format!("wk-{number}"));
         let median_s = rng.random_range(20.0..200.0);
         let median = Span::secs(median_s);
-        // The intervals are half as wide as they should be, until the calibration has adapted.
+        // Without calibration the intervals are about half as wide as they should be.
         let finish = FinishForecast { low: Span::secs(median_s * 0.85), median, high: Span::secs(median_s * 1.15) };
         let first = promises.promise(&job, finish, now);
         let similar = FinishForecast { median: Span::secs(median_s * 1.01), ..finish };
--- a/crates/forecast/tests/properties/main.rs
+++ b/crates/forecast/tests/properties/main.rs
@@ -1,4 +1,4 @@
-//! Statistical and safety properties of forecasts. All runs are seeded.
+//! Statistical properties of forecasts, and the refusal of malformed input. All random numbers are seeded.
 
 mod finish_times;
 mod replays;
--- a/crates/forecast/tests/properties/replays.rs
+++ b/crates/forecast/tests/properties/replays.rs
@@ -1,4 +1,4 @@
-//! Replays of histories: coverage and accuracy of the forecasts.
+//! Replays of histories: coverage and accuracy of the forecasts, and malformed lines.
 
 use crate::support::log_normal;
 use crowstall_forecast::Limits;
@@ -18,7 +18,7 @@
         let replay = run();
         let summary = &replay.summary;
         assert_eq!(*summary, run().summary, "seed {seed}: deterministic");
-        // The learner judges the same intervals for its calibration.
+        // The learner must have judged the same intervals for its calibration as the replay.
         assert_eq!(replay.learner.calibration.overall(), summary.all(), "seed {seed}");
         let all = summary.all();
         let within_quarter = all.within_quarter_share().expect("some completed");
@@ -32,8 +32,8 @@
     }
 }
 
-/// The scale of the run times alternates between small and large while their location drifts, so that the observed
-/// shape is not that of the next run times.
+/// Guards against intervals that follow only the observed shape: the scale of the run times alternates between small
+/// and large while their location drifts, so that the next run times have another shape.
 #[test]
 fn intervals_keep_nominal_coverage_while_the_scale_changes() {
     for seed in 1..=4 {
--- a/crates/forecast/tests/properties/run_times.rs
+++ b/crates/forecast/tests/properties/run_times.rs
@@ -1,4 +1,4 @@
-//! Forecasts of run times from observations that would mislead a plain average.
+//! Forecasts of run times from observations on which a plain average would be wrong.
 
 use crate::support::{TASK_DEVIATION, features, forecast, learn, log_normal, median, run_jobs};
 use crowstall_forecast::{JobObservations, Learner, Level, Limits, Name, Outcome, RunTimeForecast};
@@ -64,7 +64,7 @@
                 run_jobs(&mut learner, &mut rng, &features(class, "small", 3, 50.0), 50.0, 1, &mut now_s);
             }
         }
-        // From now on all estimates are biased in the same direction.
+        // All further estimates are biased in the same direction.
         for _ in 0..10 {
             let estimate = log_normal(&mut rng, 50.0 * factor, 0.1);
             run_jobs(&mut learner, &mut rng, &features("a", "small", 3, estimate), 50.0, 1, &mut now_s);
@@ -83,7 +83,7 @@
     run_jobs(&mut learner, &mut rng, &task, 75.0, 20, &mut now_s);
     let forecast = median(&learner, &task);
     assert!((0.75..1.25).contains(&(forecast / 75.0)), "{forecast} s instead of 75 s");
-    // The forecast for the next task of a job adapts before its class does.
+    // The forecast for the next task of a job must adapt to the job's earlier tasks before the class does.
     let mut job = JobObservations::default();
     for _ in 0..4 {
         learn(&mut learner, &task, log_normal(&mut rng, 150.0, TASK_DEVIATION), Outcome::Completed, &mut job, now_s);
@@ -113,11 +113,11 @@
     let small = features("sift", "small", 4, 60.0);
     run_jobs(&mut learner, &mut rng, &small, 40.0, 500, &mut now_s);
     run_jobs(&mut learner, &mut rng, &features("sift", "small", 25_000, 60.0), 240.0, 1, &mut now_s);
-    // The same kind, and a size of which only the class has been observed.
+    // One kind that was observed, and one size of which only the class was observed.
     for (kind, from, to) in [(&small, 38.0, 42.0), (&features("sift", "small", 4, 15.0), 5.0, 30.0)] {
         let forecast = forecast(&learner, kind);
         assert!((from..to).contains(&forecast.median.as_secs()), "{kind:?}: {forecast:?}");
-        // The interval is neither too narrow nor too wide.
+        // The interval must be neither too narrow nor too wide.
         let width = forecast.high.as_secs() / forecast.low.as_secs();
         assert!((1.2..5.0).contains(&width), "{kind:?}: {forecast:?}");
     }
@@ -138,7 +138,7 @@
     }
     let kept = forecast(&learner, &often);
     assert!(kept.observations >= 1900 && kept.level == Level::Kind, "{kept:?}");
-    // The coarser cells still contain the observations of an evicted cell.
+    // The coarser cells must still contain the observations of an evicted cell.
     let evicted = forecast(&learner, &features("class-7", "small", 1, 10.0));
     assert!((0.5..2.0).contains(&(evicted.median.as_secs() / 10.0)), "{evicted:?}");
     learner.forget(&Name::new("often"));
--- a/crates/forecast/tests/properties/snapshots.rs
+++ b/crates/forecast/tests/properties/snapshots.rs
@@ -1,4 +1,4 @@
-//! Snapshots: refusal of damaged ones, size limits and merging.
+//! Snapshots: refusal of damaged texts, size limits and merging.
 
 use crate::support::{features, forecast, learn, learner_with, median, run_jobs, snapshot_text, time};
 use crowstall_forecast::snapshot::{self, MergeOutcome, SnapshotError};
@@ -25,7 +25,7 @@
         let changed = String::from_utf8(bytes).expect("base 64");
         assert!(snapshot::read(&changed).is_err(), "changed at {index}");
     }
-    // The third byte is the version; the first four characters of base 64 are the first three bytes.
+    // The first four characters of base 64 encode the first three bytes, of which the third is the version.
     let unsupported = text.replacen("Q0YB", "Q0YJ", 1);
     assert_eq!(snapshot::read(&unsupported).err(), Some(SnapshotError::UnsupportedVersion(9)));
     for foreign in ["", "null", "{\"k\":1}", "Zm9yZWlnbiBieXRlcw"] {
@@ -71,14 +71,13 @@
     assert_eq!(sum.merge(&second, time(1000.0)), MergeOutcome::Added);
     assert_eq!(forecast(&sum, &kind).observations, 240);
     assert!((0.9..1.1).contains(&(median(&sum, &kind) / 40.0)));
-    // A snapshot that is older than the learner contains nothing new.
+    // A snapshot of an earlier state of the learner contains nothing new.
     let mut newer = sum.clone();
     let older = snapshot::read(&snapshot_text(&sum)).expect("valid");
     learn(&mut newer, &kind, 40.0, Outcome::Completed, &mut JobObservations::default(), 1000.0);
     assert_eq!(newer.merge(&older, time(1000.0)), MergeOutcome::Contained);
     assert_eq!(newer.merge(&second, time(1000.0)), MergeOutcome::Contained);
-    // Learners that share some observations and differ in others cannot be merged without counting the shared ones
-    // twice.
+    // If two learners share only some observations, a merge would count these twice.
     let mut other = Learner::from_snapshot(&first, 4, Limits::default(), time(1000.0));
     learn(&mut other, &kind, 40.0, Outcome::Completed, &mut JobObservations::default(), 1000.0);
     let other = snapshot::read(&snapshot_text(&other)).expect("valid");
--- a/crates/forecast/tests/properties/support.rs
+++ b/crates/forecast/tests/properties/support.rs
@@ -1,4 +1,4 @@
-//! Helpers of the tests.
+//! Helper functions of the tests.
 
 use crowstall_forecast::{
     Attempt, JobObservations, Learner, Limits, Name, Outcome, RunTimeForecast, Span, TaskFeatures, Time, snapshot,
@@ -7,7 +7,7 @@
 use rand::rngs::SmallRng;
 use rand_distr::{Distribution, Normal};
 
-/// The standard deviation of the logarithm of run times between the tasks of a job.
+/// Standard deviation of the logarithm of run times between the tasks of a job.
 pub const TASK_DEVIATION: f64 = 0.15;
 
 pub fn features(class: &str, machine_type: &str, tasks: u32, estimate_s: f64) -> TaskFeatures {
@@ -24,7 +24,7 @@
     Time::ZERO + Span::secs(seconds)
 }
 
-/// Draws from a log-normal distribution.
+/// Draws from a log-normal distribution; `deviation` is the standard deviation of the logarithm.
 pub fn log_normal(rng: &mut SmallRng, median: f64, deviation: f64) -> f64 {
     median * Normal::new(0.0, deviation).map_or(0.0, |normal| normal.sample(rng)).exp()
 }
@@ -41,7 +41,7 @@
     learner.learn(features, Attempt { run_time: Span::secs(run_time_s), outcome }, job, time(now_s));
 }
 
-/// Learns from `count` jobs whose tasks all complete.
+/// Learns from `count` jobs whose tasks all complete, one every half second from `now_s` on.
 pub fn run_jobs(
     learner: &mut Learner,
     rng: &mut SmallRng,
@@ -80,7 +80,7 @@
     learner
 }
 
-/// Writes a snapshot without a limit of its size.
+/// Writes a snapshot with a size limit that it does not reach.
 pub fn snapshot_text(learner: &Learner) -> String {
     snapshot::write(learner, time(1000.0), 1 << 20).expect("the snapshot fits")
 }
