--- a/benches/watch_cache.rs
+++ b/benches/watch_cache.rs
@@ -1,5 +1,5 @@
-//! The cost of a watch cache for fleets of several sizes: of the first list, of a second's changes, and of the memory.
-//! Answers are decoded from their wire form, as a controller does.
+//! Benchmarks of a watch cache for fleets of several sizes: the first list, and the changes of one second. Also prints
+//! the memory of the cache. Answers are decoded from their wire form, as in a controller.
 
 #![allow(missing_docs)]
 
@@ -13,10 +13,10 @@
 use std::hint::black_box;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// How many entries a page of a list contains.
+/// Number of entries per page of a list.
 const PAGE_SIZE: usize = 500;
 
-/// How many changes occur in a second at the limit on writes.
+/// Number of changes per second at the state service's limit on writes.
 const CHANGES_PER_SECOND: usize = 100;
 
 /// Returns the key and the record of a machine.
@@ -69,7 +69,7 @@
     (format!("live/wk-{number:06}"), to_value(&record))
 }
 
-/// Returns the pages of a list as the state service sends them.
+/// Returns the pages of a list, encoded as the state service sends them.
 fn pages(entries: &[(String, serde_json::Value)]) -> Vec<Vec<u8>> {
     let count = entries.len().div_ceil(PAGE_SIZE);
     let wire = |(at, page): (usize, &[(String, serde_json::Value)])| {
@@ -81,7 +81,7 @@
     entries.chunks(PAGE_SIZE).enumerate().map(wire).collect()
 }
 
-/// Returns a watch cache that has received the pages.
+/// Returns a watch cache after it has received the pages of a list.
 fn filled_cache<R: serde::de::DeserializeOwned>(pages: &[Vec<u8>]) -> WatchCache<R> {
     let mut cache = WatchCache::new(Span::millis(1000), 1_000_000);
     let mut now = Time::ZERO + Span::millis(1000);
@@ -99,8 +99,8 @@
     cache
 }
 
-/// Counts the bytes that are allocated. The memory of the process would say little after the first size, since freed
-/// pages are not returned to the system.
+/// Allocator that counts the allocated bytes. The memory of the process would be misleading from the second fleet size
+/// on, because freed pages are not returned to the system.
 struct CountingAllocator;
 
 static ALLOCATED_BYTES: AtomicUsize = AtomicUsize::new(0);
--- a/crates/crowctl/src/arguments.rs
+++ b/crates/crowctl/src/arguments.rs
@@ -1,4 +1,4 @@
-//! The arguments of the command line.
+//! Command-line arguments.
 
 use clap::{Args, Parser, Subcommand, ValueEnum};
 use std::path::PathBuf;
--- a/crates/crowctl/src/client.rs
+++ b/crates/crowctl/src/client.rs
@@ -1,4 +1,4 @@
-//! The HTTP client: sends a request to one controller after another until one of them gives a final answer.
+//! HTTP client that fails over between controllers: a request goes to one after another until one gives a final answer.
 
 use crate::error::Error;
 use indicatif::ProgressBar;
@@ -7,60 +7,61 @@
 use ureq::Agent;
 use ureq::http::Response;
 
-/// For how long a request is retried.
+/// Time after which a request is no longer retried.
 const RETRY_TIMEOUT: Duration = Duration::from_secs(60);
-/// The shortest pause before all controllers are tried again.
+/// Minimum pause before all controllers are tried again.
 const MIN_RETRY_PAUSE: Duration = Duration::from_secs(1);
-/// The longest pause before all controllers are tried again, whatever the controllers ask for.
+/// Maximum pause before all controllers are tried again, even if a `Retry-After` header asks for more.
 const MAX_RETRY_PAUSE: Duration = Duration::from_secs(30);
-/// For how long one controller may take to answer.
+/// Timeout of one request to one controller.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
-/// The longest body of an answer that is read.
+/// Maximum length of an answer's body; a longer one makes the attempt fail.
 const MAX_ANSWER_BYTES: u64 = 1 << 20;
 
-/// A client of the controllers.
+/// Client of the controllers.
 pub(crate) struct Client {
     agent: Agent,
     servers: Vec<String>,
 }
 
-/// A final answer: sending the request again would not change it.
+/// Final answer of a controller: a success or a refusal that a retry would not change.
 pub(crate) struct Answer {
     status: u16,
     body: String,
 }
 
-/// Why one controller did not give a final answer.
+/// Failure to get a final answer from one controller.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum AttemptError {
     /// The controller was not reached, or its answer did not arrive.
     #[error("{server}: {source}")]
     Transport {
-        /// The address of the controller.
+        /// Address of the controller, `HOST:PORT`.
         server: String,
-        /// What failed.
+        /// Error of the HTTP client.
         source: Box<ureq::Error>,
     },
-    /// The controller cannot answer at the moment.
+    /// The controller answered with a status that asks for a retry, such as 503.
     #[error("{server}: {reason} ({status})")]
     NotNow {
-        /// The address of the controller.
+        /// Address of the controller, `HOST:PORT`.
         server: String,
-        /// The reason that the controller gave.
+        /// Reason that the controller gave.
         reason: String,
-        /// The HTTP status.
+        /// HTTP status.
         status: u16,
     },
 }
 
-/// A failed attempt, to be repeated after a pause.
+/// Failed attempt, and the pause that its controller asks for before a retry.
 struct FailedAttempt {
     pause: Duration,
     error: AttemptError,
 }
 
 impl Answer {
-    /// Parses the body of a successful answer, or returns why the request was refused.
+    /// Parses the body of a successful answer; returns [`Error::Refused`] with the controller's reason for any other
+    /// answer.
     pub(crate) fn parse<T: DeserializeOwned>(&self) -> Result<T, Error> {
         match self.status {
             200 | 201 => serde_json::from_str(&self.body).map_err(Error::UnreadableAnswer),
@@ -68,6 +69,7 @@
         }
     }
 
+    /// Returns the `error` field of the body, or a default text if there is none.
     fn refusal_reason(&self) -> String {
         let body: Option<serde_json::Value> = serde_json::from_str(&self.body).ok();
         let reason = body.as_ref().and_then(|body| body["error"].as_str());
@@ -92,6 +94,7 @@
         self.request(path, Some(body))
     }
 
+    /// Sends a request to the controllers in turn until one gives a final answer or [`RETRY_TIMEOUT`] is over.
     fn request(&self, path: &str, body: Option<&str>) -> Result<Answer, Error> {
         let begin = Instant::now();
         let spinner = ProgressBar::new_spinner();
@@ -106,7 +109,7 @@
                 Err(failed) => failed,
             };
             attempts += 1;
-            // The other controllers are tried at once; the pause comes before the next round.
+            // The other controllers are tried without a pause; the pause is made before the next round.
             let pause = if attempts % self.servers.len() == 0 { pause } else { Duration::ZERO };
             if begin.elapsed() + pause > RETRY_TIMEOUT {
                 spinner.finish_and_clear();
@@ -118,6 +121,7 @@
         }
     }
 
+    /// Sends a request to one controller.
     fn attempt(&self, server: &str, path: &str, body: Option<&str>) -> Result<Answer, FailedAttempt> {
         let transport_error = |error: ureq::Error| FailedAttempt {
             pause: MIN_RETRY_PAUSE,
@@ -143,7 +147,7 @@
     }
 }
 
-/// Returns the pause that a `Retry-After` header asks for.
+/// Returns the pause that a `Retry-After` header asks for; `None` if there is none with a number of seconds.
 fn retry_after<Body>(response: &Response<Body>) -> Option<Duration> {
     let value = response.headers().get("retry-after")?.to_str().ok()?;
     value.parse().ok().map(Duration::from_secs)
--- a/crates/crowctl/src/error.rs
+++ b/crates/crowctl/src/error.rs
@@ -1,86 +1,86 @@
-//! Errors of the command line and the exit status of each.
+//! Errors of the commands and their exit statuses.
 
 use crate::client::AttemptError;
 use crate::plot::PlotError;
 use crowstall_forecast::replay::LineError;
 use std::io;
 
-/// The exit status if the request was refused, or the job is unknown or was cancelled.
+/// Exit status if the request was refused, or the job is unknown or was cancelled.
 const STATUS_REFUSED: u8 = 1;
-/// The exit status if the arguments or a file cannot be used.
+/// Exit status if the arguments or a file cannot be used, or a result cannot be written.
 const STATUS_BAD_INPUT: u8 = 2;
-/// The exit status if no controller gave a usable answer in time.
+/// Exit status if no controller gave a usable answer in time.
 const STATUS_UNREACHABLE: u8 = 3;
 
-/// Why a command failed.
+/// Error of a command.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum Error {
-    /// A controller refused the request for good.
+    /// A controller refused the request, and a retry would not help.
     #[error("{reason} ({status})")]
     Refused {
-        /// The HTTP status.
+        /// HTTP status.
         status: u16,
-        /// The reason that the controller gave.
+        /// Reason that the controller gave.
         reason: String,
     },
     /// The watched job was cancelled.
     #[error("{id} was cancelled")]
     JobCancelled {
-        /// The job.
+        /// Id of the job.
         id: String,
     },
     /// The argument is not the id of a job.
     #[error("{id}: not a job's id (wk-000412)")]
     InvalidJobId {
-        /// The argument.
+        /// Argument as the user gave it.
         id: String,
     },
     /// The job file cannot be submitted.
     #[error("{path}: {source}")]
     JobFile {
-        /// The file as the user named it.
+        /// Path as the user gave it.
         path: String,
-        /// What is wrong with the file.
+        /// Reason.
         source: JobFileError,
     },
     /// A file cannot be read or written.
     #[error("{path}: {source}")]
     File {
-        /// The file as the user named it.
+        /// Path as the user gave it.
         path: String,
-        /// What the operating system reports.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// A line of a recorded history cannot be used.
     #[error("{path}:{line}: {source}")]
     HistoryLine {
-        /// The history.
+        /// Path of the history.
         path: String,
-        /// The number of the line, counted from 1.
+        /// Number of the line, counted from 1.
         line: usize,
-        /// What is wrong with the line.
+        /// Reason.
         source: HistoryLineError,
     },
     /// A plot cannot be drawn.
     #[error("{path}: {source}")]
     Plot {
-        /// The file of the plot.
+        /// Path of the plot.
         path: String,
-        /// What failed.
+        /// Error of the plotting library.
         source: PlotError,
     },
     /// A result cannot be written as JSON.
     #[error(transparent)]
     Serialize(serde_json::Error),
-    /// The body of an answer is not what was expected.
+    /// The body of a successful answer cannot be parsed.
     #[error("the answer can't be read: {0}")]
     UnreadableAnswer(serde_json::Error),
-    /// No controller could answer in time.
+    /// No controller gave a final answer in time; contains the failure of the last attempt.
     #[error(transparent)]
     Unreachable(AttemptError),
 }
 
-/// What is wrong with a job file.
+/// Error of a job file.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum JobFileError {
     /// The file cannot be read.
@@ -89,9 +89,9 @@
     /// The file is longer than the body of a request may be.
     #[error("{bytes} bytes, more than {max_bytes}")]
     TooLong {
-        /// The length of the file.
+        /// Length of the file.
         bytes: usize,
-        /// The longest allowed body.
+        /// Maximum length of a body.
         max_bytes: usize,
     },
     /// The file is not JSON.
@@ -108,7 +108,7 @@
     PrerequisitesNotAList,
 }
 
-/// What is wrong with a line of a history.
+/// Error of a line of a history.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum HistoryLineError {
     /// The line cannot be read.
--- a/crates/crowctl/src/forecast.rs
+++ b/crates/crowctl/src/forecast.rs
@@ -1,4 +1,4 @@
-//! The forecast of a job: when it is expected to be done.
+//! `crowctl forecast ID`: the forecast of a job's finish time.
 
 use crate::arguments::Format;
 use crate::client::{Answer, Client};
@@ -7,7 +7,7 @@
 use crate::output::{share, show, span};
 use crowstall::protocol::users::{ForecastRecord, ForecastView, Interval, JobView, PromiseView, TaskForecast};
 
-/// Requests the forecast of a job whose id has been checked.
+/// Requests the forecast of a job. The id must have been checked with [`check_job_id`].
 pub(crate) fn fetch_forecast(client: &Client, id: &str) -> Result<ForecastView, Error> {
     request_forecast(client, id)?.parse()
 }
@@ -22,7 +22,7 @@
     let answer = request_forecast(client, id)?;
     match answer.parse::<ForecastView>() {
         Ok(view) => show(format, &view, &forecast_rows(&view)),
-        // For a job that is done or cancelled the controller answers with its state alone.
+        // For a job that is done or cancelled, the controller's answer contains only the state.
         Err(error) => match answer.parse::<JobView>() {
             Ok(view) => show_job(&view, format),
             Err(_) => Err(error),
--- a/crates/crowctl/src/history.rs
+++ b/crates/crowctl/src/history.rs
@@ -1,4 +1,4 @@
-//! Writing a synthetic history.
+//! `crowctl forecast history`: writes a synthetic history.
 
 use crate::error::Error;
 use crowstall_forecast::synthetic::HistoryGenerator;
@@ -7,7 +7,7 @@
 use std::io::{self, BufWriter, Write};
 use std::path::Path;
 
-/// Writes `lines` lines of the synthetic history of `seed` to a file, or to standard output.
+/// Writes `lines` lines of the synthetic history of `seed` to `output`, or to standard output if it is `None`.
 pub(crate) fn write(seed: u64, lines: usize, output: Option<&Path>) -> Result<(), Error> {
     let name = output.map_or_else(|| "standard output".into(), |path| path.display().to_string());
     write_lines(seed, lines, output).map_err(|source| Error::File { path: name, source })
@@ -19,7 +19,7 @@
     for line in HistoryGenerator::new(seed).take(lines) {
         let text = serde_json::to_string(&line)?;
         if let Err(error) = writeln!(sink, "{text}") {
-            // The reader of a pipe may close it early, as `head` does.
+            // A reader such as `head` closes the pipe when it has read enough; that is not an error.
             return if error.kind() == io::ErrorKind::BrokenPipe { Ok(()) } else { Err(error) };
         }
         bar.inc(1);
--- a/crates/crowctl/src/jobs.rs
+++ b/crates/crowctl/src/jobs.rs
@@ -1,4 +1,4 @@
-//! The state of jobs: showing and watching it, and cancelling a job.
+//! `crowctl status` and `crowctl cancel`: shows or watches the state of a job, or cancels it.
 
 use crate::arguments::Format;
 use crate::client::Client;
@@ -9,11 +9,11 @@
 use indicatif::ProgressBar;
 use std::time::Duration;
 
-/// The pause between two requests for the state of a watched job.
+/// Pause between two requests for the state of a watched job.
 const WATCH_INTERVAL: Duration = Duration::from_secs(2);
 const PROGRESS_TEMPLATE: &str = "{elapsed} {wide_bar} {pos}/{len} {msg}";
 
-/// Checks that `id` is the id of a job, so that it can be part of a path.
+/// Returns an error unless `id` has the form of a job id. Only then may it become part of a request's path.
 pub(crate) fn check_job_id(id: &str) -> Result<(), Error> {
     parse_job_id(id).map(|_| ()).ok_or_else(|| Error::InvalidJobId { id: id.to_string() })
 }
@@ -23,16 +23,17 @@
     show_job(&fetch_job(client, id)?, format)
 }
 
-/// Cancels a job and shows the state after that.
+/// Cancels a job and shows the state that the controller answers with.
 pub(crate) fn cancel(client: &Client, id: &str, format: Format) -> Result<(), Error> {
     check_job_id(id)?;
     let view: JobView = client.post(&format!("/v1/jobs/{id}/cancel"), "{}")?.parse()?;
     show_job(&view, format)
 }
 
-/// Follows a job until it is done or cancelled.
+/// Shows the progress of a job until it is done or cancelled, then its final state. Returns an error if it was
+/// cancelled.
 ///
-/// The progress bar is on standard error, so that the result can be piped.
+/// The progress bar is written to standard error, so that standard output contains only the result.
 pub(crate) fn watch(client: &Client, id: &str, format: Format) -> Result<(), Error> {
     let mut view = fetch_job(client, id)?;
     let bar = progress_bar(client, id);
@@ -53,9 +54,8 @@
     }
 }
 
-/// Returns a progress bar over the tasks of a job.
-///
-/// Only the forecast contains the number of tasks; without a forecast the bar has no end.
+/// Returns a progress bar over the tasks of a job, or a spinner if there is no forecast: the state does not contain the
+/// number of tasks, only the forecast does.
 fn progress_bar(client: &Client, id: &str) -> ProgressBar {
     match fetch_forecast(client, id) {
         Ok(forecast) => ProgressBar::new(u64::from(forecast.tasks)).with_style(progress_style(PROGRESS_TEMPLATE)),
@@ -76,7 +76,7 @@
     client.get(&format!("/v1/jobs/{id}"))?.parse()
 }
 
-/// Returns the name of a state as tables show it.
+/// Returns the name of a state in tables.
 pub(crate) fn state_name(state: JobState) -> &'static str {
     match state {
         JobState::Queued => "pending",
@@ -103,6 +103,8 @@
     show(format, view, &rows)
 }
 
+/// Returns the ids of the prerequisites that are not done. The controller names only some of them if there are many;
+/// the others are given as a number.
 fn unfinished_prerequisites(view: &JobView) -> String {
     let named: Vec<&str> = view.waits_for.iter().map(|prerequisite| prerequisite.as_str()).collect();
     let unnamed = view.waits_for_count.unwrap_or(0).saturating_sub(named.len());
--- a/crates/crowctl/src/main.rs
+++ b/crates/crowctl/src/main.rs
@@ -1,4 +1,4 @@
-//! crowctl, the command line of crowstall's users and operators.
+//! crowctl, the command-line client of crowstall for users and operators.
 
 mod arguments;
 mod client;
--- a/crates/crowctl/src/output.rs
+++ b/crates/crowctl/src/output.rs
@@ -1,4 +1,4 @@
-//! Output of results as tables or as JSON.
+//! Output of results as tables or JSON, and formatting of values.
 
 use crate::arguments::Format;
 use crate::error::Error;
@@ -7,11 +7,11 @@
 use indicatif::ProgressStyle;
 use serde::Serialize;
 
-/// Seconds from which on a duration is shown in minutes.
+/// Minimum number of seconds of a duration that is shown in minutes.
 const MINUTES_FROM: u64 = 120;
-/// Seconds from which on a duration is shown in hours.
+/// Minimum number of seconds of a duration that is shown in hours.
 const HOURS_FROM: u64 = 7200;
-/// A duration that is more negative than this, in seconds, is shown as one that has passed.
+/// Seconds below which a duration is shown as a time ago; values closer to zero are rounded to zero.
 const AGO_THRESHOLD: f64 = -0.05;
 
 /// Writes a result to standard output: `value` as JSON, or `rows` of names and values as a table.
@@ -33,7 +33,7 @@
     Ok(())
 }
 
-/// Formats a duration in the units that suit its length; a negative one is a time ago.
+/// Formats a duration in seconds, minutes or hours, depending on its length; a negative one as a time ago.
 pub(crate) fn span(seconds: f64) -> String {
     let whole = seconds.abs().round() as u64;
     let text = match whole {
@@ -44,12 +44,12 @@
     if seconds < AGO_THRESHOLD { format!("{text} ago") } else { text }
 }
 
-/// Formats a share in percent; a missing one as a dash.
+/// Formats a fraction from 0 to 1 in percent; `None` as a dash.
 pub(crate) fn share(value: Option<f64>) -> String {
     value.map_or_else(|| "-".to_string(), |value| format!("{:.1} %", 100.0 * value))
 }
 
-/// Returns the style of a progress bar with this template.
+/// Returns the style of a progress bar with this template, or the default style if the template is malformed.
 pub(crate) fn progress_style(template: &str) -> ProgressStyle {
     ProgressStyle::with_template(template).unwrap_or_else(|_| ProgressStyle::default_bar())
 }
--- a/crates/crowctl/src/plot.rs
+++ b/crates/crowctl/src/plot.rs
@@ -1,4 +1,4 @@
-//! Plots of the accuracy of forecasts over time.
+//! Plots of forecast accuracy over time.
 
 use crowstall_forecast::Tally;
 use plotters::coord::Shift;
@@ -8,20 +8,20 @@
 use std::path::Path;
 
 const SIZE_PIXELS: (u32, u32) = (900, 420);
-/// The shortest time axis.
+/// Minimum length of the time axis.
 const MIN_HOURS: f64 = 0.01;
 
-/// Why a plot could not be drawn.
+/// Error of drawing a plot.
 pub(crate) type PlotError = DrawingAreaErrorKind<io::Error>;
 
 type Canvas<'a> = DrawingArea<SVGBackend<'a>, Shift>;
 type Chart<'a, 'b> = ChartContext<'a, SVGBackend<'b>, Cartesian2d<RangedCoordf64, RangedCoordf64>>;
 
-/// The accuracy of the forecasts in one section of a history.
+/// Accuracy of the forecasts in one section of a history.
 pub(crate) struct PlotPoint {
-    /// The end of the section, in hours since the history began.
+    /// End of the section, in hours since the history began.
     pub(crate) hours: f64,
-    /// The forecasts of the section that were judged.
+    /// Counts of the judged forecasts of the section.
     pub(crate) tally: Tally,
 }
 
--- a/crates/crowctl/src/replay.rs
+++ b/crates/crowctl/src/replay.rs
@@ -1,4 +1,4 @@
-//! Replay of a recorded history: reports how accurate the forecasts would have been.
+//! `crowctl forecast replay`: replays a recorded history and reports the accuracy that the forecasts would have had.
 
 use crate::arguments::Format;
 use crate::error::{Error, HistoryLineError};
@@ -12,12 +12,12 @@
 use std::io::{self, BufRead, BufReader};
 use std::path::Path;
 
-/// How many judged forecasts one point of the plot summarizes.
+/// Number of judged forecasts per point of the plot.
 const FORECASTS_PER_POINT: u64 = 250;
 const SECONDS_PER_HOUR: f64 = 3600.0;
 const PROGRESS_TEMPLATE: &str = "{elapsed} {wide_bar} {bytes}/{total_bytes}, {eta} left";
 
-/// The accuracy of a group of forecasts.
+/// Accuracy of a group of forecasts, as fractions from 0 to 1; `None` if no forecast of the group was judged.
 #[derive(Serialize)]
 struct Accuracy {
     #[serde(rename = "n")]
@@ -26,7 +26,7 @@
     coverage80: Option<f64>,
 }
 
-/// The shares of run times that simpler predictors forecast to within a quarter, for comparison.
+/// Fractions of run times that simpler predictors forecast to within a quarter, for comparison; `None` if unknown.
 #[derive(Serialize)]
 struct Baselines {
     owner_estimate: Option<f64>,
@@ -34,7 +34,7 @@
     best_possible: Option<f64>,
 }
 
-/// The result of a replay.
+/// Result of a replay. The names of the fields are those of the JSON output.
 #[derive(Serialize)]
 struct Report {
     lines: u64,
@@ -48,7 +48,8 @@
     baselines: Baselines,
 }
 
-/// Replays the history in `history` and reports the accuracy of the forecasts; draws a plot if `plot` is given.
+/// Replays the history in the file `history`, shows the accuracy of the forecasts, and draws it into the file `plot` if
+/// that is given.
 pub(crate) fn replay(history: &Path, plot: Option<&Path>, format: Format) -> Result<(), Error> {
     let file = File::open(history).map_err(|source| Error::File { path: history.display().to_string(), source })?;
     let bar = ProgressBar::new(file.metadata().map_or(0, |metadata| metadata.len()));
@@ -63,6 +64,7 @@
     show(format, &report, &report.rows())
 }
 
+/// Result of a replay and the points of its plot.
 struct Replayed {
     summary: Summary,
     points: Vec<PlotPoint>,
@@ -93,6 +95,7 @@
     Ok(Some(replay::parse(&text)?))
 }
 
+/// Returns the counts of `all` that are not in the earlier counts `before`.
 fn difference(all: Tally, before: Tally) -> Tally {
     Tally {
         judged: all.judged - before.judged,
@@ -125,7 +128,7 @@
             baselines: Baselines {
                 owner_estimate: ratio(summary.estimate_within_quarter, summary.completed),
                 job_mean: ratio(summary.job_mean_within_quarter, summary.completed),
-                // Known only if every completed line contains the true median.
+                // Only comparable with the other fractions if every completed attempt has a true median.
                 best_possible: ratio(summary.true_median_within_quarter, summary.with_true_median)
                     .filter(|_| summary.with_true_median == summary.completed),
             },
--- a/crates/crowctl/src/submission.rs
+++ b/crates/crowctl/src/submission.rs
@@ -1,4 +1,4 @@
-//! Submission of jobs.
+//! `crowctl submit`: submits jobs.
 
 use crate::arguments::Format;
 use crate::client::Client;
@@ -9,12 +9,12 @@
 use std::io::{self, Read};
 use std::path::Path;
 
-/// The longest body of a submission that controllers accept.
+/// Maximum length of a submission's body that controllers accept, in bytes.
 const MAX_SUBMISSION_BYTES: usize = 64 * 1024;
-/// The field of a submission that names the prerequisites of the job.
+/// Field of a submission that lists the prerequisites of the job.
 const PREREQUISITES_FIELD: &str = "awaits";
 
-/// Submits the job in `file`, with `prerequisites` in addition to those that the file names.
+/// Submits the job in `file`, with `prerequisites` in addition to those that the file lists.
 pub(crate) fn submit(client: &Client, file: &Path, prerequisites: &[String], format: Format) -> Result<(), Error> {
     let file_error = |source| Error::JobFile { path: file.display().to_string(), source };
     let mut text = read_job_file(file).map_err(file_error)?;
@@ -32,6 +32,7 @@
     show_job(&view, format)
 }
 
+/// Reads a job file, or standard input if the path is `-`.
 fn read_job_file(file: &Path) -> Result<String, JobFileError> {
     let mut text = String::new();
     match file.to_str() {
@@ -44,7 +45,7 @@
     Ok(text)
 }
 
-/// Returns the list of prerequisites in a submission; adds an empty list if there is none.
+/// Returns the list of prerequisites in a submission; adds an empty list if there is none or it is `null`.
 fn prerequisites_mut(job: &mut Value) -> Result<&mut Vec<Value>, JobFileError> {
     let fields = job.as_object_mut().ok_or(JobFileError::NotAnObject)?;
     let prerequisites = fields.entry(PREREQUISITES_FIELD).or_insert(Value::Null);
--- a/crates/crowctl/tests/commands.rs
+++ b/crates/crowctl/tests/commands.rs
@@ -1,4 +1,4 @@
-//! Runs the crowctl binary against a fake controller.
+//! Tests of the crowctl binary against a fake controller: fail-over, exit statuses, output and files.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -6,9 +6,9 @@
 use std::process::{Command, Output, Stdio};
 use std::sync::mpsc::{Receiver, channel};
 
-/// Starts a fake controller that gives one answer (status and body) per connection.
+/// Starts a fake controller that gives one of `answers` (status and body) per connection, in this order.
 ///
-/// Returns its address, and the requests (request line and body) as they arrive.
+/// Returns the address of the controller, and a receiver of the requests (request line and body).
 fn fake_controller(answers: &'static [(u16, &'static str)]) -> (String, Receiver<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("the listener is bound").to_string();
@@ -24,7 +24,7 @@
     (address, requests)
 }
 
-/// Reads a request; returns its first line and its body.
+/// Reads a request; returns the request line and the body.
 fn read_request(reader: &mut BufReader<TcpStream>) -> String {
     let (mut head, mut length) = (String::new(), 0);
     loop {
@@ -50,7 +50,7 @@
     let _ = stream.write_all(answer.as_bytes());
 }
 
-/// Runs crowctl with `input` on standard input until it exits.
+/// Runs crowctl with `input` on standard input and waits until it exits.
 fn crowctl(arguments: &[&str], input: &str) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_crowctl"))
         .args(arguments)
@@ -59,7 +59,7 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("crowctl starts");
-    // crowctl may exit before it has read everything; its output and status are checked then.
+    // Writing fails if crowctl exits before it has read all of the input; the tests check its output and status.
     let _ = child.stdin.take().expect("piped").write_all(input.as_bytes());
     child.wait_with_output().expect("crowctl exits")
 }
