--- a/benches/watch_cache.rs
+++ b/benches/watch_cache.rs
@@ -72,10 +72,10 @@
 /// Returns the pages of a list, encoded as the state service sends them.
 fn pages(entries: &[(String, serde_json::Value)]) -> Vec<Vec<u8>> {
     let count = entries.len().div_ceil(PAGE_SIZE);
-    let wire = |(at, page): (usize, &[(String, serde_json::Value)])| {
+    let wire = |(index, page): (usize, &[(String, serde_json::Value)])| {
         let entries = page.iter().map(|(key, value)| serde_json::json!({ "k": key, "data": value, "molt": 1 }));
         let entries: Vec<serde_json::Value> = entries.collect();
-        let page = serde_json::json!({ "entries": entries, "truncated": at + 1 < count, "tally": 1 });
+        let page = serde_json::json!({ "entries": entries, "truncated": index + 1 < count, "tally": 1 });
         page.to_string().into_bytes()
     };
     entries.chunks(PAGE_SIZE).enumerate().map(wire).collect()
@@ -111,9 +111,9 @@
         unsafe { System.alloc(layout) }
     }
 
-    unsafe fn dealloc(&self, at: *mut u8, layout: Layout) {
+    unsafe fn dealloc(&self, pointer: *mut u8, layout: Layout) {
         ALLOCATED_BYTES.fetch_sub(layout.size(), Ordering::Relaxed);
-        unsafe { System.dealloc(at, layout) }
+        unsafe { System.dealloc(pointer, layout) }
     }
 }
 
@@ -142,9 +142,9 @@
             });
         });
         let log: Vec<serde_json::Value> = (0..CHANGES_PER_SECOND)
-            .map(|at| {
-                let (key, value) = &jobs[at * 3 % jobs.len()];
-                serde_json::json!({ "set": key, "data": value, "molt": at + 2 })
+            .map(|index| {
+                let (key, value) = &jobs[index * 3 % jobs.len()];
+                serde_json::json!({ "set": key, "data": value, "molt": index + 2 })
             })
             .collect();
         let wire = serde_json::json!({ "tally": CHANGES_PER_SECOND + 2, "log": log }).to_string().into_bytes();
--- a/crates/crowctl/src/client.rs
+++ b/crates/crowctl/src/client.rs
@@ -43,7 +43,7 @@
     },
     /// The controller answered with a status that asks for a retry, such as 503.
     #[error("{server}: {reason} ({status})")]
-    NotNow {
+    Unavailable {
         /// Address of the controller, `HOST:PORT`.
         server: String,
         /// Reason that the controller gave.
@@ -96,7 +96,7 @@
 
     /// Sends a request to the controllers in turn until one gives a final answer or [`RETRY_TIMEOUT`] is over.
     fn request(&self, path: &str, body: Option<&str>) -> Result<Answer, Error> {
-        let begin = Instant::now();
+        let started_at = Instant::now();
         let spinner = ProgressBar::new_spinner();
         let mut attempts = 0;
         loop {
@@ -111,7 +111,7 @@
             attempts += 1;
             // The other controllers are tried without a pause; the pause is made before the next round.
             let pause = if attempts % self.servers.len() == 0 { pause } else { Duration::ZERO };
-            if begin.elapsed() + pause > RETRY_TIMEOUT {
+            if started_at.elapsed() + pause > RETRY_TIMEOUT {
                 spinner.finish_and_clear();
                 return Err(Error::Unreachable(error));
             }
@@ -141,7 +141,11 @@
             200 | 201 | 400 | 404 | 405 | 422 => Ok(answer),
             _ => Err(FailedAttempt {
                 pause: pause.clamp(MIN_RETRY_PAUSE, MAX_RETRY_PAUSE),
-                error: AttemptError::NotNow { server: server.to_string(), reason: answer.refusal_reason(), status },
+                error: AttemptError::Unavailable {
+                    server: server.to_string(),
+                    reason: answer.refusal_reason(),
+                    status,
+                },
             }),
         }
     }
--- a/crates/crowctl/src/forecast.rs
+++ b/crates/crowctl/src/forecast.rs
@@ -4,7 +4,7 @@
 use crate::client::{Answer, Client};
 use crate::error::Error;
 use crate::jobs::{check_job_id, show_job, state_name};
-use crate::output::{share, show, span};
+use crate::output::{format_duration, format_fraction, show};
 use crowstall::protocol::users::{ForecastRecord, ForecastView, Interval, JobView, PromiseView, TaskForecast};
 
 /// Requests the forecast of a job. The id must have been checked with [`check_job_id`].
@@ -46,11 +46,21 @@
 }
 
 fn interval_text(interval: &Interval) -> String {
-    format!("{} ({} to {})", span(interval.middle_s), span(interval.low_s), span(interval.high_s))
+    format!(
+        "{} ({} to {})",
+        format_duration(interval.middle_s),
+        format_duration(interval.low_s),
+        format_duration(interval.high_s)
+    )
 }
 
 fn promise_text(promise: &PromiseView) -> String {
-    format!("{} (made {} before, revision {})", span(promise.by_s), span(promise.made_s), promise.revisions)
+    format!(
+        "{} (made {} before, revision {})",
+        format_duration(promise.by_s),
+        format_duration(promise.made_s),
+        promise.revisions
+    )
 }
 
 fn basis_text(task: &TaskForecast) -> String {
@@ -60,7 +70,7 @@
 fn record_text(record: &ForecastRecord) -> String {
     format!(
         "{} inside their interval of 80 %, {} of promises kept",
-        share(record.inside_interval),
-        share(record.promises_kept)
+        format_fraction(record.inside_interval),
+        format_fraction(record.promises_kept)
     )
 }
--- a/crates/crowctl/src/jobs.rs
+++ b/crates/crowctl/src/jobs.rs
@@ -4,7 +4,7 @@
 use crate::client::Client;
 use crate::error::Error;
 use crate::forecast::fetch_forecast;
-use crate::output::{progress_style, show, span};
+use crate::output::{format_duration, progress_style, show};
 use crowstall::protocol::users::{ForecastView, JobState, JobView, parse_job_id};
 use indicatif::ProgressBar;
 use std::time::Duration;
@@ -65,7 +65,8 @@
 
 fn update_progress(bar: &ProgressBar, view: &JobView, forecast: Option<&ForecastView>) {
     let promise = forecast.and_then(|forecast| forecast.promise.as_ref());
-    let promised = promise.map_or_else(String::new, |promise| format!(", done within {}", span(promise.by_s)));
+    let promised =
+        promise.map_or_else(String::new, |promise| format!(", done within {}", format_duration(promise.by_s)));
     bar.set_position(u64::from(view.done));
     bar.set_message(format!("{}, {} running{promised}", state_name(view.state), view.running));
     bar.tick();
--- a/crates/crowctl/src/output.rs
+++ b/crates/crowctl/src/output.rs
@@ -8,11 +8,11 @@
 use serde::Serialize;
 
 /// Minimum number of seconds of a duration that is shown in minutes.
-const MINUTES_FROM: u64 = 120;
+const MINUTES_FROM_S: u64 = 120;
 /// Minimum number of seconds of a duration that is shown in hours.
-const HOURS_FROM: u64 = 7200;
+const HOURS_FROM_S: u64 = 7200;
 /// Seconds below which a duration is shown as a time ago; values closer to zero are rounded to zero.
-const AGO_THRESHOLD: f64 = -0.05;
+const AGO_THRESHOLD_S: f64 = -0.05;
 
 /// Writes a result to standard output: `value` as JSON, or `rows` of names and values as a table.
 pub(crate) fn show(format: Format, value: &impl Serialize, rows: &[(&str, String)]) -> Result<(), Error> {
@@ -34,18 +34,18 @@
 }
 
 /// Formats a duration in seconds, minutes or hours, depending on its length; a negative one as a time ago.
-pub(crate) fn span(seconds: f64) -> String {
+pub(crate) fn format_duration(seconds: f64) -> String {
     let whole = seconds.abs().round() as u64;
     let text = match whole {
-        0..MINUTES_FROM => format!("{:.1} s", seconds.abs()),
-        MINUTES_FROM..HOURS_FROM => format!("{} min {:02} s", whole / 60, whole % 60),
+        0..MINUTES_FROM_S => format!("{:.1} s", seconds.abs()),
+        MINUTES_FROM_S..HOURS_FROM_S => format!("{} min {:02} s", whole / 60, whole % 60),
         _ => format!("{} h {:02} min", whole / 3600, whole % 3600 / 60),
     };
-    if seconds < AGO_THRESHOLD { format!("{text} ago") } else { text }
+    if seconds < AGO_THRESHOLD_S { format!("{text} ago") } else { text }
 }
 
 /// Formats a fraction from 0 to 1 in percent; `None` as a dash.
-pub(crate) fn share(value: Option<f64>) -> String {
+pub(crate) fn format_fraction(value: Option<f64>) -> String {
     value.map_or_else(|| "-".to_string(), |value| format!("{:.1} %", 100.0 * value))
 }
 
--- a/crates/crowctl/src/plot.rs
+++ b/crates/crowctl/src/plot.rs
@@ -53,9 +53,9 @@
     points: &[PlotPoint],
     label: &str,
     color: RGBColor,
-    share: fn(&Tally) -> Option<f64>,
+    fraction: fn(&Tally) -> Option<f64>,
 ) -> Result<(), PlotError> {
-    let series = points.iter().filter_map(|point| share(&point.tally).map(|share| (point.hours, share)));
+    let series = points.iter().filter_map(|point| fraction(&point.tally).map(|fraction| (point.hours, fraction)));
     chart
         .draw_series(LineSeries::new(series, &color))?
         .label(label)
--- a/crates/crowctl/src/replay.rs
+++ b/crates/crowctl/src/replay.rs
@@ -2,7 +2,7 @@
 
 use crate::arguments::Format;
 use crate::error::{Error, HistoryLineError};
-use crate::output::{progress_style, share, show};
+use crate::output::{format_fraction, progress_style, show};
 use crate::plot::{self, PlotPoint};
 use crowstall_forecast::replay::{self, HistoryLine, Replay, Summary};
 use crowstall_forecast::{Limits, Tally};
@@ -79,7 +79,7 @@
         replay.process(&line);
         let all = replay.summary.all();
         if all.judged - before.judged >= FORECASTS_PER_POINT {
-            points.push(PlotPoint { hours: line.at_s / SECONDS_PER_HOUR, tally: difference(all, before) });
+            points.push(PlotPoint { hours: line.at_s / SECONDS_PER_HOUR, tally: counts_since(all, before) });
             before = all;
         }
     }
@@ -96,7 +96,7 @@
 }
 
 /// Returns the counts of `all` that are not in the earlier counts `before`.
-fn difference(all: Tally, before: Tally) -> Tally {
+fn counts_since(all: Tally, before: Tally) -> Tally {
     Tally {
         judged: all.judged - before.judged,
         below: all.below - before.below,
@@ -111,7 +111,12 @@
     }
 
     fn text(&self) -> String {
-        format!("{} within a quarter, {} inside ({})", share(self.within_quarter), share(self.coverage80), self.judged)
+        format!(
+            "{} within a quarter, {} inside ({})",
+            format_fraction(self.within_quarter),
+            format_fraction(self.coverage80),
+            self.judged
+        )
     }
 }
 
@@ -136,7 +141,7 @@
     }
 
     fn rows(&self) -> [(&'static str, String); 7] {
-        let within_quarter = |value| format!("{} within a quarter", share(value));
+        let within_quarter = |value| format!("{} within a quarter", format_fraction(value));
         [
             ("lines", format!("{}, of them {} completed and {} cut", self.lines, self.completed, self.censored)),
             ("all", self.all.text()),
--- a/crates/crowctl/tests/commands.rs
+++ b/crates/crowctl/tests/commands.rs
@@ -138,8 +138,8 @@
     assert_eq!(report["lines"], 3000);
     assert_eq!(report["n"], report["completed"]);
     let (within_quarter, coverage) = (report["within_quarter"].as_f64(), report["coverage80"].as_f64());
-    assert!(within_quarter.is_some_and(|share| share > 0.6), "{report}");
-    assert!(coverage.is_some_and(|share| share > 0.7), "{report}");
+    assert!(within_quarter.is_some_and(|fraction| fraction > 0.6), "{report}");
+    assert!(coverage.is_some_and(|fraction| fraction > 0.7), "{report}");
     assert!(report["baselines"]["best_possible"].as_f64() > within_quarter, "{report}");
     let svg = std::fs::read_to_string(&plot).expect("the plot was written");
     assert!(svg.starts_with("<svg") && svg.contains("polyline"));
--- a/crates/forecast/src/calibration.rs
+++ b/crates/forecast/src/calibration.rs
@@ -20,9 +20,9 @@
 /// quality of its forecast.
 const MIN_WEIGHT: f64 = 0.3;
 /// Maximum error of a prediction that counts as within a quarter, as a fraction of the outcome.
-const NEAR_FRACTION: f64 = 0.25;
+const WITHIN_QUARTER_FRACTION: f64 = 0.25;
 /// Number of different bases of a forecast; see [`Basis`].
-pub(crate) const BASES: usize = 4;
+pub(crate) const BASIS_COUNT: usize = 4;
 
 /// Counts of judged intervals.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -68,7 +68,7 @@
 
 /// Returns `true` if a prediction is off by at most a quarter of the outcome.
 pub(crate) fn is_within_quarter(prediction: f64, outcome: f64) -> bool {
-    (prediction - outcome).abs() <= NEAR_FRACTION * outcome
+    (prediction - outcome).abs() <= WITHIN_QUARTER_FRACTION * outcome
 }
 
 /// Widening of the two sides of an interval, as logarithms; negative values narrow them.
@@ -133,9 +133,9 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Calibration {
     /// Widening of the intervals, by basis.
-    pub(crate) widenings: [LogWidening; BASES],
+    pub(crate) widenings: [LogWidening; BASIS_COUNT],
     /// Counts of judged intervals, by basis: no observations, few, many, or tasks of the same job.
-    pub tallies: [Tally; BASES],
+    pub tallies: [Tally; BASIS_COUNT],
 }
 
 impl Calibration {
--- a/crates/forecast/src/cell.rs
+++ b/crates/forecast/src/cell.rs
@@ -8,10 +8,10 @@
 ///
 /// The number is small so that estimates that become too high for all jobs are corrected within tens of completed
 /// attempts.
-const LOCATION_MEMORY: f64 = 50.0;
+const LOCATION_WINDOW: f64 = 50.0;
 /// Weight of attempts after which an older one counts 1/e in the scale and the shape. These need more observations than
 /// the location and change less.
-const SCALE_MEMORY: f64 = 150.0;
+const SCALE_WINDOW: f64 = 150.0;
 /// Strength of the prior that the run time is proportional to the estimate, that is, that the slope of their logarithms
 /// is 1; in units of weight times variance of the estimates.
 const SLOPE_PRIOR: f64 = 0.5;
@@ -30,9 +30,9 @@
 }
 
 impl DecayingMean {
-    /// Adds a value. Earlier values decay by the factor e for each `memory` of added weight.
-    pub fn add(&mut self, value: f64, weight: f64, memory: f64) {
-        let decay = (-weight / memory).exp();
+    /// Adds a value. Earlier values decay by the factor e for each `window` of added weight.
+    pub fn add(&mut self, value: f64, weight: f64, window: f64) {
+        let decay = (-weight / window).exp();
         self.sum = self.sum * decay + value * weight;
         self.weight = self.weight * decay + weight;
     }
@@ -90,7 +90,7 @@
     /// Weight of the observations as evidence: completed attempts count in full, censored ones in part.
     pub evidence: f64,
     /// Number of completed attempts; does not decay.
-    pub completed: u64,
+    pub completed_attempts: u64,
     /// Total variance: the mean of the squared residuals.
     pub total_variance: DecayingMean,
     /// Variance within jobs: the mean of the squared differences from the other tasks of the job.
@@ -98,7 +98,7 @@
     /// Standardized run times.
     pub shape: CensoredSample,
     /// Latest time that [`Cell::decay`] was called with.
-    pub updated: Time,
+    pub updated_at: Time,
 }
 
 impl Cell {
@@ -109,20 +109,20 @@
         if observation.is_completed {
             self.record_scale(observation);
         }
-        self.shape.scale_weight((-observation.weight / SCALE_MEMORY).exp());
+        self.shape.scale_weight((-observation.weight / SCALE_WINDOW).exp());
         self.shape.add(observation.standardized, observation.weight, observation.is_completed);
     }
 
     /// Updates the regression of run times over estimates.
     fn record_location(&mut self, observation: &CellObservation) {
-        self.scale_location_weight((-observation.weight / LOCATION_MEMORY).exp());
+        self.scale_location_weight((-observation.weight / LOCATION_WINDOW).exp());
         self.evidence += observation.weight * observation.evidence;
         let weight = self.weight + observation.weight;
         let estimate_deviation = observation.estimate - self.mean_estimate;
         let run_time_deviation = observation.run_time - self.mean_run_time;
-        let part = observation.weight / weight;
-        self.mean_estimate += estimate_deviation * part;
-        self.mean_run_time += run_time_deviation * part;
+        let fraction = observation.weight / weight;
+        self.mean_estimate += estimate_deviation * fraction;
+        self.mean_run_time += run_time_deviation * fraction;
         self.estimate_moment += observation.weight * estimate_deviation * (observation.estimate - self.mean_estimate);
         self.cross_moment += observation.weight * estimate_deviation * (observation.run_time - self.mean_run_time);
         self.weight = weight;
@@ -130,10 +130,10 @@
 
     /// Updates the variances with a completed attempt.
     fn record_scale(&mut self, observation: &CellObservation) {
-        self.completed += 1;
-        self.total_variance.add(observation.residual * observation.residual, observation.weight, SCALE_MEMORY);
+        self.completed_attempts += 1;
+        self.total_variance.add(observation.residual * observation.residual, observation.weight, SCALE_WINDOW);
         if let Some(square) = observation.within_job_square {
-            self.within_job_variance.add(square, observation.weight, SCALE_MEMORY);
+            self.within_job_variance.add(square, observation.weight, SCALE_WINDOW);
         }
     }
 
@@ -146,8 +146,8 @@
 
     /// Reduces the weight of all observations by the time since the last call.
     pub fn decay(&mut self, now: Time, half_life: Span) {
-        let age = now.since(self.updated);
-        self.updated = self.updated.max(now);
+        let age = now.since(self.updated_at);
+        self.updated_at = self.updated_at.max(now);
         // A shorter time is skipped to save the computation, and is not made up for by a later call.
         if age.0.saturating_mul(DECAYS_PER_HALF_LIFE) < half_life.0 || self.weight == 0.0 {
             return;
@@ -168,29 +168,29 @@
 
     /// Returns the evidence that would be lost if the cell were evicted.
     pub fn usefulness(&self, now: Time, half_life: Span) -> f64 {
-        self.evidence * decay_factor(now.since(self.updated), half_life)
+        self.evidence * decay_factor(now.since(self.updated_at), half_life)
     }
 
     /// Adds the observations of another cell.
     pub fn merge(&mut self, other: &Cell) {
         let weight = self.weight + other.weight;
         if other.weight > 0.0 {
-            let part = other.weight / weight;
+            let fraction = other.weight / weight;
             let estimate_deviation = other.mean_estimate - self.mean_estimate;
             let run_time_deviation = other.mean_run_time - self.mean_run_time;
-            let between_weight = self.weight * part;
+            let between_weight = self.weight * fraction;
             self.estimate_moment += other.estimate_moment + estimate_deviation * estimate_deviation * between_weight;
             self.cross_moment += other.cross_moment + estimate_deviation * run_time_deviation * between_weight;
-            self.mean_estimate += estimate_deviation * part;
-            self.mean_run_time += run_time_deviation * part;
+            self.mean_estimate += estimate_deviation * fraction;
+            self.mean_run_time += run_time_deviation * fraction;
         }
         self.weight = weight;
         self.evidence += other.evidence;
-        self.completed += other.completed;
+        self.completed_attempts += other.completed_attempts;
         self.total_variance.merge(other.total_variance);
         self.within_job_variance.merge(other.within_job_variance);
         self.shape.merge(&other.shape);
-        self.updated = self.updated.max(other.updated);
+        self.updated_at = self.updated_at.max(other.updated_at);
     }
 
     /// Returns the memory of the cell, in bytes.
--- a/crates/forecast/src/expectation.rs
+++ b/crates/forecast/src/expectation.rs
@@ -23,7 +23,7 @@
 /// Weight of the coarser level in the variances of a cell, in observations.
 const VARIANCE_PRIOR_WEIGHT: f64 = 6.0;
 /// Maximum weight of each level in the shape of the distribution, from coarse to fine.
-const SHAPE_WEIGHTS: [f64; LEVELS] = [8.0, 12.0, 20.0, 60.0];
+const MAX_SHAPE_WEIGHTS: [f64; LEVELS] = [8.0, 12.0, 20.0, 60.0];
 /// Weight of the normal distribution in the shape.
 const SHAPE_PRIOR_WEIGHT: f64 = 6.0;
 /// Minimum number of completed attempts for a cell to be reported as the basis of a forecast. The class is reported
@@ -109,9 +109,9 @@
 
     /// Returns the estimate of the next finer level from its cell, shrunk towards this one.
     fn refine(&self, cell: &Cell, log_estimate: f64) -> LevelEstimate {
-        let part = cell.evidence / (cell.evidence + LOCATION_PRIOR_WEIGHT);
+        let fraction = cell.evidence / (cell.evidence + LOCATION_PRIOR_WEIGHT);
         LevelEstimate {
-            location: self.location + (cell.location(log_estimate) - self.location) * part,
+            location: self.location + (cell.location(log_estimate) - self.location) * fraction,
             total_variance: cell.total_variance.shrunk_towards(self.total_variance, VARIANCE_PRIOR_WEIGHT),
             within_job_variance: cell
                 .within_job_variance
@@ -133,7 +133,7 @@
     /// Returns the distribution of standardized run times, pooled over all levels.
     fn survival_function(&self) -> SurvivalFunction {
         let mut pooled = PooledSample::default();
-        for (cell, max_weight) in self.cells.iter().zip(SHAPE_WEIGHTS) {
+        for (cell, max_weight) in self.cells.iter().zip(MAX_SHAPE_WEIGHTS) {
             if let Some(cell) = cell {
                 pooled.add(&cell.shape, max_weight);
             }
@@ -146,7 +146,7 @@
     fn similar_attempts(&self) -> SimilarAttempts {
         let mut similar = SimilarAttempts { level: Level::Estimate, completed: 0 };
         for (cell, level) in self.cells.iter().skip(1).zip([Level::Class, Level::ClassAndSize, Level::Kind]) {
-            let completed = cell.map_or(0, |cell| cell.completed);
+            let completed = cell.map_or(0, |cell| cell.completed_attempts);
             if completed >= MIN_OBSERVATIONS || (level == Level::Class && completed > 0) {
                 similar = SimilarAttempts { level, completed };
             }
@@ -164,11 +164,11 @@
         let between = (total - within).max(MIN_BETWEEN_JOBS_FRACTION * total);
         let prior_weight = within / between;
         let weight = job.residuals.weight;
-        let known_part = weight / (weight + prior_weight);
+        let known_fraction = weight / (weight + prior_weight);
         let mean_residual = if weight > 0.0 { job.residuals.sum / weight } else { 0.0 };
         JobEffect {
-            shift: known_part * mean_residual,
-            variance: within / (weight + prior_weight) + estimate.location_variance * (1.0 - known_part),
+            shift: known_fraction * mean_residual,
+            variance: within / (weight + prior_weight) + estimate.location_variance * (1.0 - known_fraction),
             within_job_variance: within,
         }
     }
@@ -176,7 +176,7 @@
 
 impl Learner {
     /// Returns the distribution expected for the run time of a task.
-    pub(crate) fn expect(&self, features: &TaskFeatures, job: &JobObservations) -> Expectation {
+    pub(crate) fn expectation(&self, features: &TaskFeatures, job: &JobObservations) -> Expectation {
         let levels = self.level_estimates(features);
         let finest = levels.finest();
         let base_location = self.base_location(&finest, features, job);
--- a/crates/forecast/src/finish.rs
+++ b/crates/forecast/src/finish.rs
@@ -72,9 +72,9 @@
 /// The forecast is monotone: more tasks, more work ahead, less capacity or a lower quota never make it earlier. The
 /// same inputs always give the same result.
 pub fn forecast_finish(inputs: &FinishInputs) -> Option<FinishForecast> {
-    let low = finish_at(inputs, -BOUND_DEVIATIONS)?;
-    let median = finish_at(inputs, 0.0)?;
-    let high = finish_at(inputs, BOUND_DEVIATIONS)?;
+    let low = finish_s(inputs, -BOUND_DEVIATIONS)?;
+    let median = finish_s(inputs, 0.0)?;
+    let high = finish_s(inputs, BOUND_DEVIATIONS)?;
     Some(FinishForecast {
         low: Span::secs(low.min(median)),
         median: Span::secs(median),
@@ -84,35 +84,35 @@
 
 /// Returns the seconds until the job is done if run times and the work ahead are `deviations` standard deviations
 /// larger than their medians.
-fn finish_at(inputs: &FinishInputs, deviations: f64) -> Option<f64> {
+fn finish_s(inputs: &FinishInputs, deviations: f64) -> Option<f64> {
     let FinishInputs { run_time, capacity, .. } = inputs;
-    let mean = run_time.mean_at(deviations);
-    let running = longest_remaining(inputs.running, mean);
+    let mean_s = run_time.mean_s(deviations);
+    let running_s = longest_remaining_s(inputs.running, mean_s);
     let tasks = inputs.running.len() as u32 + inputs.pending;
-    let straggler = run_time.longest_over_mean(tasks.min(max_parallel_tasks(inputs)), deviations);
+    let straggler_s = run_time.longest_excess_s(tasks.min(max_parallel_tasks(inputs)), deviations);
     if inputs.pending == 0 {
-        return Some(if tasks == 0 { 0.0 } else { running + straggler });
+        return Some(if tasks == 0 { 0.0 } else { running_s + straggler_s });
     }
-    let ahead = inputs.ahead_cpu_s * (1.0 + WORK_AHEAD_DEVIATION * deviations).max(0.0);
-    let own = f64::from(inputs.pending) * inputs.cpus_per_task * mean;
+    let ahead_cpu_s = inputs.ahead_cpu_s * (1.0 + WORK_AHEAD_DEVIATION * deviations).max(0.0);
+    let own_cpu_s = f64::from(inputs.pending) * inputs.cpus_per_task * mean_s;
     // The work ahead uses all CPUs and the job starts after it, with as many CPUs as it may use.
-    let start = work_done_at(capacity, ahead, f64::MAX, 0.0)?;
-    let done = work_done_at(capacity, own, capacity.max_cpus, start)?;
-    let image_fetch = inputs.image_fetch.as_secs();
-    let earliest = start + image_fetch + mean;
-    Some((done + image_fetch).max(earliest).max(running) + straggler)
+    let start_s = work_done_at_s(capacity, ahead_cpu_s, f64::MAX, 0.0)?;
+    let done_s = work_done_at_s(capacity, own_cpu_s, capacity.max_cpus, start_s)?;
+    let image_fetch_s = inputs.image_fetch.as_secs();
+    let earliest_s = start_s + image_fetch_s + mean_s;
+    Some((done_s + image_fetch_s).max(earliest_s).max(running_s) + straggler_s)
 }
 
 /// Returns the longest remaining time of the running tasks, in seconds.
 ///
 /// The remaining time of a task that has run longer than expected is taken as proportional to its elapsed time, as
 /// usual for long-tailed distributions.
-fn longest_remaining(running: &[Span], mean: f64) -> f64 {
-    let remaining = |ran: &Span| {
-        let ran = ran.as_secs();
-        (mean - ran).max(MIN_REMAINING_FRACTION * ran).max(MIN_REMAINING_FRACTION * mean)
+fn longest_remaining_s(running: &[Span], mean_s: f64) -> f64 {
+    let remaining_s = |elapsed: &Span| {
+        let elapsed_s = elapsed.as_secs();
+        (mean_s - elapsed_s).max(MIN_REMAINING_FRACTION * elapsed_s).max(MIN_REMAINING_FRACTION * mean_s)
     };
-    running.iter().map(remaining).fold(0.0, f64::max)
+    running.iter().map(remaining_s).fold(0.0, f64::max)
 }
 
 /// Returns the number of tasks that the job may run at once.
@@ -121,21 +121,21 @@
     tasks.clamp(1.0, MAX_PARALLEL_TASKS) as u32
 }
 
-/// Returns the time, in seconds from now, at which `work` in CPU seconds is done if it starts at `start` and uses at
-/// most `max_cpus` at once; `None` if there are no CPUs for it.
-fn work_done_at(capacity: &AvailableCapacity, work: f64, max_cpus: f64, start: f64) -> Option<f64> {
-    let (mut cpus, mut now, mut remaining) = (capacity.cpus, 0.0, work);
+/// Returns the time, in seconds from now, at which work of `work_cpu_s` CPU seconds is done if it starts at `start_s` and
+/// uses at most `max_cpus` at once; `None` if there are no CPUs for it.
+fn work_done_at_s(capacity: &AvailableCapacity, work_cpu_s: f64, max_cpus: f64, start_s: f64) -> Option<f64> {
+    let (mut cpus, mut now_s, mut remaining_cpu_s) = (capacity.cpus, 0.0, work_cpu_s);
     let boots = capacity.booting.iter().map(|booting| (booting.ready_in.as_secs(), booting.cpus));
-    for (ready_at, more_cpus) in boots.chain([(f64::MAX, 0.0)]) {
+    for (ready_at_s, more_cpus) in boots.chain([(f64::MAX, 0.0)]) {
         let usable = cpus.min(max_cpus).max(0.0);
-        let begin = f64::max(now, start);
-        if ready_at > begin {
-            if usable > 0.0 && remaining <= usable * (ready_at - begin) {
-                return Some(begin + remaining / usable);
+        let begin_s = f64::max(now_s, start_s);
+        if ready_at_s > begin_s {
+            if usable > 0.0 && remaining_cpu_s <= usable * (ready_at_s - begin_s) {
+                return Some(begin_s + remaining_cpu_s / usable);
             }
-            remaining -= usable * (ready_at - begin);
+            remaining_cpu_s -= usable * (ready_at_s - begin_s);
         }
-        now = now.max(ready_at);
+        now_s = now_s.max(ready_at_s);
         cpus += more_cpus;
     }
     None
--- a/crates/forecast/src/learner.rs
+++ b/crates/forecast/src/learner.rs
@@ -11,9 +11,9 @@
 
 /// Maximum distance of a standardized run time from the location, in standard deviations. Larger ones are clamped, so
 /// that a single outlier cannot move a cell far.
-const MAX_STANDARDIZED: f64 = 3.5;
+const MAX_STANDARDIZED_RUN_TIME: f64 = 3.5;
 /// Weight of tasks after which an older residual counts 1/e in the mean residual of its job.
-const JOB_MEMORY: f64 = 100.0;
+const JOB_WINDOW: f64 = 100.0;
 /// Minimum weight of the observed tasks of a job for the next one to contribute to the variance within the job.
 const MIN_JOB_WEIGHT: f64 = 0.5;
 /// Lower bound of the logarithm of a forecast run time in seconds.
@@ -132,7 +132,7 @@
 
     /// Forecasts the run time of the next task.
     pub fn predict(&self, features: &TaskFeatures, job: &JobObservations) -> RunTimeForecast {
-        let expectation = self.expect(features, job);
+        let expectation = self.expectation(features, job);
         let LogInterval { low, median, high } = self.interval(&expectation);
         let span = |log_seconds: f64| Span::secs(log_seconds.clamp(MIN_LOG_SECONDS, MAX_LOG_SECONDS).exp());
         RunTimeForecast {
@@ -151,7 +151,7 @@
     /// attempts.
     pub fn learn(&mut self, features: &TaskFeatures, attempt: Attempt, job: &mut JobObservations, now: Time) {
         let log_seconds = attempt.run_time.as_secs().max(MIN_SECONDS).ln();
-        let expectation = self.expect(features, job);
+        let expectation = self.expectation(features, job);
         let is_completed = attempt.outcome == Outcome::Completed;
         // The tasks of a job are similar, so each further one adds less information. With equal weights a large job
         // would outweigh all others.
@@ -176,7 +176,7 @@
         let first = || FirstTask { machine_type: features.machine_type.clone(), location: expectation.base_location };
         job.first.get_or_insert_with(first);
         job.tasks_seen = job.tasks_seen.saturating_add(1);
-        job.residuals.add(residual, imputed.evidence, JOB_MEMORY);
+        job.residuals.add(residual, imputed.evidence, JOB_WINDOW);
         *self.origins.entry(self.own_origin).or_default() += 1;
         self.evict(now);
     }
@@ -244,24 +244,24 @@
             for (_, key) in candidates.into_iter().take(self.cells.len().div_ceil(EVICTED_FRACTION)) {
                 self.cells.remove(&key);
             }
-            self.count_cell_bytes();
+            self.recompute_cell_bytes();
         }
     }
 
     /// Recomputes the memory of the cells after cells were removed or merged.
-    fn count_cell_bytes(&mut self) {
+    fn recompute_cell_bytes(&mut self) {
         self.cell_bytes = self.cells.iter().map(|(key, cell)| key.heap_bytes() + cell.bytes()).sum();
     }
 
     /// Removes the cells of a class. Its contribution to the cell of all tasks remains and decays with time.
     pub fn forget(&mut self, class: &Name) {
         self.cells.retain(|key, _| key.class() != Some(class));
-        self.count_cell_bytes();
+        self.recompute_cell_bytes();
     }
 
     /// Recomputes the memory after cells were merged, and applies the memory limit.
-    pub(crate) fn cells_merged(&mut self, now: Time) {
-        self.count_cell_bytes();
+    pub(crate) fn enforce_memory_limit(&mut self, now: Time) {
+        self.recompute_cell_bytes();
         self.evict(now);
     }
 }
@@ -282,11 +282,11 @@
 /// expectation (J. Buckley and I. James, "Linear regression with censored data", 1979).
 fn impute(expectation: &Expectation, log_seconds: f64, is_completed: bool) -> ImputedRunTime {
     let Expectation { location, scale, survival, .. } = expectation;
-    let standardized = ((log_seconds - location) / scale).clamp(-MAX_STANDARDIZED, MAX_STANDARDIZED);
+    let standardized = ((log_seconds - location) / scale).clamp(-MAX_STANDARDIZED_RUN_TIME, MAX_STANDARDIZED_RUN_TIME);
     if is_completed {
         return ImputedRunTime { log_seconds: location + standardized * scale, evidence: 1.0, standardized };
     }
-    let expected = survival.mean_beyond(standardized).min(MAX_STANDARDIZED);
+    let expected = survival.mean_beyond(standardized).min(MAX_STANDARDIZED_RUN_TIME);
     ImputedRunTime {
         // The observed run time is a lower bound.
         log_seconds: log_seconds.max(location + expected * scale),
--- a/crates/forecast/src/promises.rs
+++ b/crates/forecast/src/promises.rs
@@ -39,7 +39,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Promises {
     /// Promise in force of each job.
-    open: HashMap<JobId, Promise>,
+    in_force: HashMap<JobId, Promise>,
     /// Calibration of the intervals.
     widening: LogWidening,
     /// First promise of each job. Users plan with it, so it is the one that is judged.
@@ -53,7 +53,7 @@
 impl Promises {
     /// Returns the promise in force for a job; `None` if there is none.
     pub fn get(&self, job: &JobId) -> Option<Promise> {
-        self.open.get(job).copied()
+        self.in_force.get(job).copied()
     }
 
     /// Promises a finish time and returns the promise in force.
@@ -63,12 +63,12 @@
     pub fn promise(&mut self, job: &JobId, finish: FinishForecast, now: Time) -> Promise {
         let old = self.get(job);
         let fresh = self.new_promise(finish, now);
-        if let Some(old) = old.filter(|old| still_holds(old, &fresh, finish.median, now)) {
+        if let Some(old) = old.filter(|old| remains_in_force(old, &fresh, finish.median, now)) {
             return old;
         }
         let revisions = old.map_or(0, |old| old.revisions + 1);
         let fresh = Promise { revisions, ..fresh };
-        self.open.insert(job.clone(), fresh);
+        self.in_force.insert(job.clone(), fresh);
         self.first.entry(job.clone()).or_insert(fresh);
         fresh
     }
@@ -89,7 +89,7 @@
     /// Judges the first promise of a job that is done, and removes all of its promises; returns `None` if there was
     /// none.
     pub fn job_done(&mut self, job: &JobId, now: Time) -> Option<JudgedPromise> {
-        self.open.remove(job);
+        self.in_force.remove(job);
         let promise = self.first.remove(job)?;
         let since_made = |time: Time| time.since(promise.made).as_secs();
         let (low, median, by) = (since_made(promise.low), since_made(promise.median), since_made(promise.by));
@@ -102,18 +102,18 @@
 
     /// Removes the promises of a job that will not be done, without judging them.
     pub fn remove_job(&mut self, job: &JobId) {
-        self.open.remove(job);
+        self.in_force.remove(job);
         self.first.remove(job);
     }
 
     /// Returns the number of jobs with a promise.
-    pub fn open_count(&self) -> usize {
-        self.open.len()
+    pub fn job_count(&self) -> usize {
+        self.in_force.len()
     }
 }
 
 /// Returns `true` if the promise `old` remains in force although `fresh` would be made now.
-fn still_holds(old: &Promise, fresh: &Promise, remaining: Span, now: Time) -> bool {
+fn remains_in_force(old: &Promise, fresh: &Promise, remaining: Span, now: Time) -> bool {
     let moved = old.median.since(fresh.median).max(fresh.median.since(old.median));
     now <= old.by && moved <= remaining.times(REVISION_FRACTION).max(MIN_REVISION)
 }
--- a/crates/forecast/src/replay.rs
+++ b/crates/forecast/src/replay.rs
@@ -187,16 +187,16 @@
     /// Number of completed tasks.
     completed: u32,
     /// Time of the job's last line.
-    last_line_s: f64,
+    last_line_at_s: f64,
 }
 
 impl Job {
     fn new(now_s: f64) -> Job {
-        Job { observations: JobObservations::default(), run_time_sum_s: 0.0, completed: 0, last_line_s: now_s }
+        Job { observations: JobObservations::default(), run_time_sum_s: 0.0, completed: 0, last_line_at_s: now_s }
     }
 
     fn is_recent(&self, now_s: f64) -> bool {
-        now_s - self.last_line_s < JOB_TIMEOUT_S
+        now_s - self.last_line_at_s < JOB_TIMEOUT_S
     }
 
     /// Returns the mean of the run times so far and the estimate, which counts as one more task.
@@ -231,7 +231,7 @@
         if !job.is_recent(line.at_s) || job.completed >= line.tasks {
             *job = Job::new(line.at_s);
         }
-        job.last_line_s = line.at_s;
+        job.last_line_at_s = line.at_s;
         self.summary.lines += 1;
         match line.outcome {
             LineOutcome::Censored => self.summary.censored += 1,
--- a/crates/forecast/src/run_time.rs
+++ b/crates/forecast/src/run_time.rs
@@ -41,21 +41,21 @@
 impl RunTimeForecast {
     /// Returns the mean run time of the tasks of a job, in seconds, if the effect that they share lies `deviations`
     /// standard deviations from its median.
-    pub fn mean_at(&self, deviations: f64) -> f64 {
+    pub fn mean_s(&self, deviations: f64) -> f64 {
         let log_mean_over_median = self.task_deviation * self.task_deviation / 2.0;
         self.median.as_secs() * (self.shared_deviation * deviations + log_mean_over_median).exp()
     }
 
     /// Returns the expected difference between the longest of `tasks` parallel tasks and their mean, in seconds, with
-    /// the same meaning of `deviations` as in [`RunTimeForecast::mean_at`].
+    /// the same meaning of `deviations` as in [`RunTimeForecast::mean_s`].
     ///
     /// Uses the approximation of the largest normal order statistic by G. Blom (1958).
-    pub fn longest_over_mean(&self, tasks: u32, deviations: f64) -> f64 {
+    pub fn longest_excess_s(&self, tasks: u32, deviations: f64) -> f64 {
         let count = f64::from(tasks.max(1));
         let largest = normal_quantile((count - 0.375) / (count + 0.25));
         let longest =
             self.median.as_secs() * (self.shared_deviation * deviations + self.task_deviation * largest).exp();
-        (longest - self.mean_at(deviations)).max(0.0)
+        (longest - self.mean_s(deviations)).max(0.0)
     }
 }
 
--- a/crates/forecast/src/snapshot.rs
+++ b/crates/forecast/src/snapshot.rs
@@ -7,7 +7,7 @@
 //! The checksum covers the compressed bytes. A text that is truncated, damaged, of another version or not a snapshot is
 //! refused as a whole.
 
-use crate::calibration::{BASES, LogWidening, MAX_LOG_WIDENING};
+use crate::calibration::{BASIS_COUNT, LogWidening, MAX_LOG_WIDENING};
 use crate::cell::{Cell, DecayingMean};
 use crate::features::CellKey;
 use crate::learner::{Learner, Limits};
@@ -29,9 +29,9 @@
 /// Version of the format, incremented with each change of the body's meaning.
 const VERSION: u8 = 1;
 /// Offset of the version in the header.
-const VERSION_AT: usize = 2;
+const VERSION_OFFSET: usize = 2;
 /// Offset of the checksum in the header.
-const CHECKSUM_AT: usize = 3;
+const CHECKSUM_OFFSET: usize = 3;
 /// Length of the header.
 const HEADER_BYTES: usize = 7;
 /// Maximum length of a decompressed body, so that a malformed text cannot exhaust memory. No learner within sensible
@@ -234,7 +234,7 @@
                 within_job_variance_sum: cell.within_job_variance.sum as f32,
                 within_job_variance_weight: cell.within_job_variance.weight as f32,
             },
-            completed_attempts: cell.completed,
+            completed_attempts: cell.completed_attempts,
             completed: stored_centroids(&cell.shape.completed),
             censored: stored_centroids(&cell.shape.censored),
         }
@@ -250,7 +250,7 @@
             estimate_moment: f64::from(numbers.estimate_moment),
             cross_moment: f64::from(numbers.cross_moment),
             evidence: f64::from(numbers.evidence),
-            completed: self.completed_attempts,
+            completed_attempts: self.completed_attempts,
             total_variance: DecayingMean {
                 sum: f64::from(numbers.total_variance_sum),
                 weight: f64::from(numbers.total_variance_weight),
@@ -263,7 +263,7 @@
                 completed: self.completed.iter().map(StoredCentroid::restore).collect(),
                 censored: self.censored.iter().map(StoredCentroid::restore).collect(),
             },
-            updated: now,
+            updated_at: now,
         }
     }
 }
@@ -278,7 +278,7 @@
     fn is_valid(&self) -> bool {
         let widenings_are_finite = self.widenings.iter().all(|(low, high)| low.is_finite() && high.is_finite());
         let cells_are_valid = self.cells.iter().all(|cell| cell.numbers.are_valid());
-        cells_are_valid && widenings_are_finite && self.widenings.len() <= BASES
+        cells_are_valid && widenings_are_finite && self.widenings.len() <= BASIS_COUNT
     }
 }
 
@@ -369,10 +369,10 @@
     if !header.starts_with(MAGIC) {
         return Err(Damage::NotASnapshot.into());
     }
-    if header[VERSION_AT] != VERSION {
-        return Err(SnapshotError::UnsupportedVersion(header[VERSION_AT]));
+    if header[VERSION_OFFSET] != VERSION {
+        return Err(SnapshotError::UnsupportedVersion(header[VERSION_OFFSET]));
     }
-    if header[CHECKSUM_AT..] != crc32fast::hash(compressed).to_be_bytes() {
+    if header[CHECKSUM_OFFSET..] != crc32fast::hash(compressed).to_be_bytes() {
         return Err(Damage::WrongChecksum.into());
     }
     let body = decompress(compressed)?;
@@ -394,11 +394,11 @@
     /// twice. A learner without observations also takes over the widenings.
     pub fn merge(&mut self, snapshot: &Snapshot, now: Time) -> MergeOutcome {
         let Snapshot(body) = snapshot;
-        let known = |origin: &u64| self.origins.get(origin).copied().unwrap_or(0);
-        if body.origins.iter().all(|(origin, count)| known(origin) >= *count) {
+        let known_attempts = |origin: &u64| self.origins.get(origin).copied().unwrap_or(0);
+        if body.origins.iter().all(|(origin, count)| known_attempts(origin) >= *count) {
             return MergeOutcome::Contained;
         }
-        if body.origins.keys().any(|origin| known(origin) > 0) {
+        if body.origins.keys().any(|origin| known_attempts(origin) > 0) {
             return MergeOutcome::Overlaps;
         }
         if self.origins.is_empty() {
@@ -408,7 +408,7 @@
         for stored in &body.cells {
             self.cells.entry(stored.key.clone()).or_default().merge(&stored.restore(now));
         }
-        self.cells_merged(now);
+        self.enforce_memory_limit(now);
         MergeOutcome::Added
     }
 
--- a/crates/forecast/src/survival.rs
+++ b/crates/forecast/src/survival.rs
@@ -15,7 +15,7 @@
 const MIN_TAIL_PROBABILITY: f64 = 1e-9;
 /// Assumed mean distance of the values beyond the last step from the last completed value or the given
 /// one, whichever is larger, in standard deviations.
-const MEAN_EXCESS_OF_REST: f64 = 0.5;
+const MEAN_EXCESS_BEYOND_LAST: f64 = 0.5;
 /// Assumed mean distance of the values beyond a given one if none was observed there, in standard deviations.
 const DEFAULT_MEAN_EXCESS: f64 = 0.25;
 
@@ -77,7 +77,7 @@
             }
             at_risk -= point.weight;
         }
-        SurvivalFunction { steps, rest: survival }
+        SurvivalFunction { steps, probability_beyond_last: survival }
     }
 }
 
@@ -94,7 +94,7 @@
 pub(crate) struct SurvivalFunction {
     steps: Vec<Step>,
     /// Probability beyond the last step, where all values are censored.
-    rest: f64,
+    probability_beyond_last: f64,
 }
 
 impl SurvivalFunction {
@@ -113,9 +113,9 @@
     /// by one standard deviation for each factor e by which the survival probability falls; otherwise it is the last
     /// value.
     fn extrapolate(&self, last: &Step, probability: f64) -> f64 {
-        let rest = (1.0 - last.midpoint).max(MIN_PROBABILITY);
-        let excess = if self.rest > MIN_PROBABILITY {
-            (rest / (1.0 - probability).max(MIN_PROBABILITY)).ln().max(0.0)
+        let remaining = (1.0 - last.midpoint).max(MIN_PROBABILITY);
+        let excess = if self.probability_beyond_last > MIN_PROBABILITY {
+            (remaining / (1.0 - probability).max(MIN_PROBABILITY)).ln().max(0.0)
         } else {
             0.0
         };
@@ -130,8 +130,8 @@
             probability += step.probability;
         }
         let last = self.steps.last().map_or(value, |step| step.value).max(value);
-        sum += (last + MEAN_EXCESS_OF_REST) * self.rest;
-        probability += self.rest;
+        sum += (last + MEAN_EXCESS_BEYOND_LAST) * self.probability_beyond_last;
+        probability += self.probability_beyond_last;
         if probability > MIN_TAIL_PROBABILITY { (sum / probability).max(value) } else { value + DEFAULT_MEAN_EXCESS }
     }
 
@@ -144,6 +144,6 @@
 /// Returns the value at `probability` by linear interpolation between two steps.
 fn interpolate(before: &Step, after: &Step, probability: f64) -> f64 {
     let width = after.midpoint - before.midpoint;
-    let part = if width > MIN_STEP_WIDTH { (probability - before.midpoint) / width } else { 1.0 };
-    before.value + (after.value - before.value) * part
+    let fraction = if width > MIN_STEP_WIDTH { (probability - before.midpoint) / width } else { 1.0 };
+    before.value + (after.value - before.value) * fraction
 }
--- a/crates/forecast/src/synthetic.rs
+++ b/crates/forecast/src/synthetic.rs
@@ -28,9 +28,9 @@
 const OUTAGE_PROBABILITY: f64 = 0.001;
 const OUTAGE_S: f64 = 60.0;
 /// Probability that an attempt is censored during an outage.
-const CENSORED_IN_OUTAGE: f64 = 0.4;
+const CENSORED_PROBABILITY_IN_OUTAGE: f64 = 0.4;
 /// Probability that an attempt is censored outside outages.
-const CENSORED_OTHERWISE: f64 = 0.02;
+const CENSORED_PROBABILITY: f64 = 0.02;
 const CLASSES: usize = 8;
 /// Reciprocal of the fraction of classes whose speed changes.
 const CLASSES_PER_SPEED_CHANGE: usize = 3;
@@ -38,7 +38,7 @@
 const CLASSES_AT_START: usize = 5;
 const TEAMS: usize = 3;
 /// Number of unfinished jobs that the next attempt is drawn from.
-const JOBS_AT_ONCE: usize = 12;
+const UNFINISHED_JOBS: usize = 12;
 /// Typical numbers of tasks of a job, one of which is drawn for each class.
 const TASK_COUNTS: [u32; 5] = [1, 4, 12, 40, 150];
 const MACHINE_TYPES: [MachineType; 2] =
@@ -63,9 +63,9 @@
     /// Logarithm of the median run time, in seconds, before the change of speed.
     log_median: f64,
     /// Typical number of tasks of a job.
-    tasks: u32,
+    typical_tasks: u32,
     /// Time from which jobs of the class are submitted.
-    since_s: f64,
+    first_submission_s: f64,
     speed_change: SpeedChange,
 }
 
@@ -104,8 +104,8 @@
             name: format!("class-{number}"),
             team: format!("team-{}", number % TEAMS),
             log_median: rng.random_range(8.0f64..240.0).ln(),
-            tasks: TASK_COUNTS[rng.random_range(0..TASK_COUNTS.len())],
-            since_s: if number < CLASSES_AT_START { 0.0 } else { rng.random_range(0.2..1.5) * DAY_S },
+            typical_tasks: TASK_COUNTS[rng.random_range(0..TASK_COUNTS.len())],
+            first_submission_s: if number < CLASSES_AT_START { 0.0 } else { rng.random_range(0.2..1.5) * DAY_S },
             speed_change: SpeedChange {
                 at_s: rng.random_range(0.3..2.0) * DAY_S,
                 log_factor: if number % CLASSES_PER_SPEED_CHANGE == 1 {
@@ -154,7 +154,7 @@
 
     fn submit_job(&mut self) {
         let submitted: Vec<usize> =
-            (0..self.classes.len()).filter(|index| self.classes[*index].since_s <= self.now_s).collect();
+            (0..self.classes.len()).filter(|index| self.classes[*index].first_submission_s <= self.now_s).collect();
         let index = submitted[self.rng.random_range(0..submitted.len())];
         let class = &self.classes[index];
         let speed_change = class.speed_change_at(self.now_s);
@@ -162,7 +162,7 @@
         // Estimates do not follow a change of speed: they are made from the run times before it.
         let log_estimate = log_median - speed_change + self.bias + normal(&mut self.rng, ESTIMATE_DEVIATION);
         let task_factor = normal(&mut self.rng, TASK_COUNT_DEVIATION).exp();
-        let tasks = (f64::from(class.tasks) * task_factor).ceil().max(1.0) as u32;
+        let tasks = (f64::from(class.typical_tasks) * task_factor).ceil().max(1.0) as u32;
         let estimate_s = (log_estimate.exp() * 10.0).round().max(1.0) / 10.0;
         self.jobs.push(Job { class: index, tasks, estimate_s, log_median, remaining_tasks: tasks });
     }
@@ -173,10 +173,11 @@
         let machine_type = &MACHINE_TYPES[self.rng.random_range(0..MACHINE_TYPES.len())];
         let job = &self.jobs[index];
         let true_median_s = (job.log_median + machine_type.log_factor).exp();
-        let full_s = true_median_s * normal(&mut self.rng, TASK_DEVIATION).exp();
+        let full_run_time_s = true_median_s * normal(&mut self.rng, TASK_DEVIATION).exp();
         let in_outage = self.now_s < self.outage_until_s;
-        let is_censored = self.rng.random_bool(if in_outage { CENSORED_IN_OUTAGE } else { CENSORED_OTHERWISE });
-        let ran_s = if is_censored { full_s * self.rng.random_range(0.02..0.98) } else { full_s };
+        let is_censored =
+            self.rng.random_bool(if in_outage { CENSORED_PROBABILITY_IN_OUTAGE } else { CENSORED_PROBABILITY });
+        let ran_s = if is_censored { full_run_time_s * self.rng.random_range(0.02..0.98) } else { full_run_time_s };
         let class = &self.classes[job.class];
         let line = HistoryLine {
             at_s: self.now_s,
@@ -209,7 +210,7 @@
 
     fn next(&mut self) -> Option<HistoryLine> {
         self.advance();
-        while self.jobs.len() < JOBS_AT_ONCE {
+        while self.jobs.len() < UNFINISHED_JOBS {
             self.submit_job();
         }
         Some(self.end_attempt())
--- a/crates/forecast/tests/properties/finish_times.rs
+++ b/crates/forecast/tests/properties/finish_times.rs
@@ -55,8 +55,8 @@
         };
         assert_not_earlier(finish(pending + rng.random_range(1..50), ahead, &capacity), "more tasks");
         assert_not_earlier(finish(pending, ahead + rng.random_range(0.0..5000.0), &capacity), "more work ahead");
-        let part = rng.random_range(0.3..1.0);
-        let fewer_cpus = AvailableCapacity { cpus: capacity.cpus * part, ..capacity.clone() };
+        let fraction = rng.random_range(0.3..1.0);
+        let fewer_cpus = AvailableCapacity { cpus: capacity.cpus * fraction, ..capacity.clone() };
         assert_not_earlier(finish(pending, ahead, &fewer_cpus), "less capacity");
         assert_not_earlier(finish(pending, ahead, &with_later_boots(&capacity)), "later boots");
     }
@@ -93,6 +93,6 @@
     }
     assert_eq!(promises.tally.judged - promises.tally.above, kept);
     assert_eq!(promises.total_lateness, total_lateness);
-    assert_eq!(promises.open_count(), 0);
+    assert_eq!(promises.job_count(), 0);
     assert!((1740..=1860).contains(&kept), "{kept} of 2000 were kept");
 }
