--- a/benches/watch_cache.rs
+++ b/benches/watch_cache.rs
@@ -92,7 +92,7 @@
         cache.next_request(now, true).expect("a page is due");
         let Ok(StateAnswer::Page { entries, more, revision }) = call.answer(200, page) else { panic!("not a page") };
         let read = |entry: crowstall::protocol::state::Entry| {
-            (entry.key, entry.version, serde_json::from_value(entry.value).expect("a record"))
+            (entry.key, entry.version, serde_json::from_value(entry.value).expect("the value is a record"))
         };
         cache.listed(entries.into_iter().map(read).collect(), more, revision, now);
     }
@@ -159,7 +159,7 @@
                 let Ok(StateAnswer::Changes { log, revision }) = call.answer(200, &wire) else { panic!("no changes") };
                 let read = |change| match change {
                     LogEntry::Set { key, value, version } => {
-                        WatchChange::Set(key, version, serde_json::from_value(value).expect("a record"))
+                        WatchChange::Set(key, version, serde_json::from_value(value).expect("the value is a record"))
                     }
                     LogEntry::Delete { key, version } => WatchChange::Delete(key, version),
                 };
--- a/crates/crowctl/src/error.rs
+++ b/crates/crowctl/src/error.rs
@@ -73,7 +73,7 @@
     #[error(transparent)]
     Serialize(serde_json::Error),
     /// The body of a successful answer cannot be parsed.
-    #[error("the answer can't be read: {0}")]
+    #[error("the controller's answer cannot be parsed: {0}")]
     UnreadableAnswer(serde_json::Error),
     /// No controller gave a final answer in time; contains the failure of the last attempt.
     #[error(transparent)]
@@ -98,13 +98,13 @@
     #[error(transparent)]
     Json(#[from] serde_json::Error),
     /// The job has no id, or the id is not a string.
-    #[error("id: missing, or not a text")]
+    #[error("id: missing, or not a string")]
     MissingId,
     /// The JSON value is not an object.
     #[error("not an object")]
     NotAnObject,
     /// The prerequisites in the file are not an array.
-    #[error("awaits: not a list")]
+    #[error("awaits: not an array")]
     PrerequisitesNotAList,
 }
 
--- a/crates/crowctl/tests/commands.rs
+++ b/crates/crowctl/tests/commands.rs
@@ -10,7 +10,7 @@
 ///
 /// Returns the address of the controller, and a receiver of the requests (request line and body).
 fn fake_controller(answers: &'static [(u16, &'static str)]) -> (String, Receiver<String>) {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a local port can be bound");
     let address = listener.local_addr().expect("the listener is bound").to_string();
     let (sender, requests) = channel();
     std::thread::spawn(move || {
@@ -60,7 +60,7 @@
         .spawn()
         .expect("crowctl starts");
     // Writing fails if crowctl exits before it has read all of the input; the tests check its output and status.
-    let _ = child.stdin.take().expect("piped").write_all(input.as_bytes());
+    let _ = child.stdin.take().expect("standard input is piped").write_all(input.as_bytes());
     child.wait_with_output().expect("crowctl exits")
 }
 
@@ -94,7 +94,7 @@
     let (address, requests) = fake_controller(&[(404, r#"{"error":"no such job"}"#)]);
     let output = crowctl(&["--server", &address, "status", "wk-77"], "");
     assert_eq!((output.status.code(), text(&output.stderr).trim()), (Some(1), "crowctl: no such job (404)"));
-    assert_eq!(requests.recv().expect("a request"), "GET /v1/jobs/wk-77 HTTP/1.1 ");
+    assert_eq!(requests.recv().expect("the controller received a request"), "GET /v1/jobs/wk-77 HTTP/1.1 ");
     for (input, reason) in [("{", "EOF"), ("{}", "id: missing"), (r#"{"id":"x/../y"}"#, "not a job's id")] {
         let output = crowctl(&["--server", "127.0.0.1:1", "submit", "-"], input);
         assert_eq!(output.status.code(), Some(2), "{input}");
@@ -134,7 +134,7 @@
     let plot = temporary_file("plot.svg", "");
     let plot_name = plot.to_str().expect("the path is UTF-8");
     let output = crowctl(&["--format", "json", "forecast", "replay", name, "--plot", plot_name], "");
-    let report: serde_json::Value = serde_json::from_slice(&output.stdout).expect("JSON");
+    let report: serde_json::Value = serde_json::from_slice(&output.stdout).expect("the report is JSON");
     assert_eq!(report["lines"], 3000);
     assert_eq!(report["n"], report["completed"]);
     let (within_quarter, coverage) = (report["within_quarter"].as_f64(), report["coverage80"].as_f64());
@@ -162,7 +162,10 @@
     let file = r#"{"id":"wk-3","awaits":["wk-1"]}"#;
     let output = crowctl(&["--server", &address, "submit", "--needs", "wk-2", "-"], file);
     assert!(output.status.success(), "{}", text(&output.stderr));
-    assert_eq!(requests.recv().expect("a request"), r#"POST /v1/jobs HTTP/1.1 {"awaits":["wk-1","wk-2"],"id":"wk-3"}"#);
+    assert_eq!(
+        requests.recv().expect("the controller received a request"),
+        r#"POST /v1/jobs HTTP/1.1 {"awaits":["wk-1","wk-2"],"id":"wk-3"}"#
+    );
     assert!(text(&output.stdout).contains("wk-1, wk-2 and 3 more"), "{}", text(&output.stdout));
     let output = crowctl(&["--server", &address, "submit", "--needs", "job-2", "-"], file);
     assert_eq!(output.status.code(), Some(2), "{}", text(&output.stderr));
--- a/crates/forecast/src/replay.rs
+++ b/crates/forecast/src/replay.rs
@@ -79,7 +79,7 @@
         field: &'static str,
     },
     /// The job has no tasks.
-    #[error("tasks: not from 1 on")]
+    #[error("tasks: must be at least 1")]
     NoTasks,
 }
 
--- a/crates/forecast/src/snapshot.rs
+++ b/crates/forecast/src/snapshot.rs
@@ -54,33 +54,33 @@
     #[error("damaged: {0}")]
     Damaged(#[from] Damage),
     /// The snapshot has another version.
-    #[error("of version {0}, not {VERSION}")]
+    #[error("unsupported version {0}, expected {VERSION}")]
     UnsupportedVersion(u8),
 }
 
 /// Kind of damage of a text that should be a snapshot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Damage {
-    /// The text is not base 64.
-    #[error("not base 64")]
+    /// The text is not valid base64.
+    #[error("not valid base64")]
     NotBase64,
     /// The text is shorter than the header.
-    #[error("too short")]
+    #[error("shorter than the header of {HEADER_BYTES} bytes")]
     TooShort,
     /// The text does not begin with the first bytes of a snapshot.
-    #[error("not a snapshot")]
+    #[error("does not begin with the first bytes of a snapshot")]
     NotASnapshot,
     /// The checksum does not match.
-    #[error("its checksum is another")]
+    #[error("checksum mismatch")]
     WrongChecksum,
     /// The body cannot be decompressed.
-    #[error("can't be unpacked")]
+    #[error("body cannot be decompressed")]
     Compression,
     /// The body is not CBOR with the expected fields, or it is longer than the limit.
-    #[error("its body can't be read")]
+    #[error("body cannot be parsed")]
     Body,
     /// A number is not finite or outside its range, or there are too many widenings.
-    #[error("its numbers make no sense")]
+    #[error("a number is out of range")]
     NumberOutOfRange,
 }
 
--- a/crates/forecast/tests/properties/finish_times.rs
+++ b/crates/forecast/tests/properties/finish_times.rs
@@ -46,7 +46,7 @@
             forecast_finish(&finish_inputs(run_time, pending, &running, ahead, capacity))
         };
         let base = finish(pending, ahead, &capacity).expect("there is capacity");
-        assert_eq!(finish(pending, ahead, &capacity), Some(base), "seed {seed}");
+        assert_eq!(finish(pending, ahead, &capacity), Some(base), "seed {seed}: a second forecast differs");
         assert!(base.low <= base.median && base.median <= base.high, "seed {seed}: {base:?}");
         let assert_not_earlier = |other: Option<FinishForecast>, change: &str| {
             let other = other.expect("there is capacity");
@@ -78,7 +78,11 @@
         let finish = FinishForecast { low: Span::secs(median_s * 0.85), median, high: Span::secs(median_s * 1.15) };
         let first = promises.promise(&job, finish, now);
         let similar = FinishForecast { median: Span::secs(median_s * 1.01), ..finish };
-        assert_eq!(promises.promise(&job, similar, now + Span::secs(0.2)), first, "no material change");
+        assert_eq!(
+            promises.promise(&job, similar, now + Span::secs(0.2)),
+            first,
+            "the promise was revised without a material change"
+        );
         let doubled =
             FinishForecast { low: median, median: Span::secs(2.0 * median_s), high: Span::secs(3.0 * median_s) };
         let revised = promises.promise(&job, doubled, now + Span::secs(1.0));
--- a/crates/forecast/tests/properties/replays.rs
+++ b/crates/forecast/tests/properties/replays.rs
@@ -17,14 +17,14 @@
         };
         let replay = run();
         let summary = &replay.summary;
-        assert_eq!(*summary, run().summary, "seed {seed}: deterministic");
+        assert_eq!(*summary, run().summary, "seed {seed}: a second replay gave another result");
         // The learner must have judged the same intervals for its calibration as the replay.
         assert_eq!(replay.learner.calibration.overall(), summary.all(), "seed {seed}");
         let all = summary.all();
-        let within_quarter = all.within_quarter_share().expect("some completed");
+        let within_quarter = all.within_quarter_share().expect("some attempts completed");
         assert!(within_quarter >= 0.6, "seed {seed}: {within_quarter} within a quarter");
         for tally in [all, summary.few_observations, summary.many_observations] {
-            let coverage = tally.coverage().expect("some completed");
+            let coverage = tally.coverage().expect("some attempts completed");
             assert!((0.75..=0.85).contains(&coverage), "seed {seed}: coverage {coverage}: {summary:?}");
         }
         let best_baseline = summary.job_mean_within_quarter.max(summary.estimate_within_quarter);
@@ -50,10 +50,10 @@
                 r#"{{"at_s":{},"team":"t","class":"c{class}","type":"m","tasks":3,"estimate_s":{estimate_s},"ran_s":{ran_s},"end":"done"}}"#,
                 number * 5
             );
-            replay.process(&replay::parse(&text).expect("valid"));
+            replay.process(&replay::parse(&text).expect("the line is valid"));
         }
         for tally in [replay.summary.few_observations, replay.summary.many_observations] {
-            let coverage = tally.coverage().expect("some are judged");
+            let coverage = tally.coverage().expect("some forecasts are judged");
             assert!((0.75..=0.85).contains(&coverage), "seed {seed}: coverage {coverage}: {tally:?}");
         }
     }
--- a/crates/forecast/tests/properties/snapshots.rs
+++ b/crates/forecast/tests/properties/snapshots.rs
@@ -10,22 +10,22 @@
 fn truncated_damaged_foreign_and_unsupported_snapshots_are_refused() {
     let learner = learner_with(1, "sift", 40.0, 50);
     let text = snapshot_text(&learner);
-    let snapshot = snapshot::read(&text).expect("valid");
+    let snapshot = snapshot::read(&text).expect("the snapshot is valid");
     let restored = Learner::from_snapshot(&snapshot, 2, Limits::default(), time(1000.0));
     let kind = features("sift", "small", 2, 60.0);
     let (before, after) = (forecast(&learner, &kind), forecast(&restored, &kind));
     assert_eq!(before.observations, after.observations);
     assert!((before.median.as_secs() / after.median.as_secs() - 1.0).abs() < 0.01, "{before:?} became {after:?}");
     for length in 0..text.len() {
-        assert!(snapshot::read(&text[..length]).is_err(), "truncated after {length} bytes");
+        assert!(snapshot::read(&text[..length]).is_err(), "accepted although truncated after {length} bytes");
     }
     for index in 0..text.len() {
         let mut bytes = text.clone().into_bytes();
         bytes[index] = if bytes[index] == b'A' { b'B' } else { b'A' };
-        let changed = String::from_utf8(bytes).expect("base 64");
-        assert!(snapshot::read(&changed).is_err(), "changed at {index}");
+        let changed = String::from_utf8(bytes).expect("the text is ASCII");
+        assert!(snapshot::read(&changed).is_err(), "accepted with a changed character at {index}");
     }
-    // The first four characters of base 64 encode the first three bytes, of which the third is the version.
+    // The first four base64 characters encode the first three bytes, of which the third is the version.
     let unsupported = text.replacen("Q0YB", "Q0YJ", 1);
     assert_eq!(snapshot::read(&unsupported).err(), Some(SnapshotError::UnsupportedVersion(9)));
     for foreign in ["", "null", "{\"k\":1}", "Zm9yZWlnbiBieXRlcw"] {
@@ -46,8 +46,12 @@
         assert!(whole > max_bytes, "{whole} bytes in all");
         let limited = snapshot::write(&learner, time(1000.0), max_bytes).expect("the coarsest cell fits");
         assert!(limited.len() <= max_bytes, "{} of {max_bytes} bytes", limited.len());
-        let restored =
-            Learner::from_snapshot(&snapshot::read(&limited).expect("valid"), 2, Limits::default(), time(1000.0));
+        let restored = Learner::from_snapshot(
+            &snapshot::read(&limited).expect("the snapshot is valid"),
+            2,
+            Limits::default(),
+            time(1000.0),
+        );
         let kept = forecast(&restored, &features("often", "small", 2, 60.0));
         assert!(
             kept.observations > 300 && (0.8..1.25).contains(&(kept.median.as_secs() / 40.0)),
@@ -61,26 +65,26 @@
 fn merging_snapshots_is_idempotent_and_adds_disjoint_observations() {
     let (one, two) = (learner_with(1, "sift", 40.0, 60), learner_with(2, "sift", 40.0, 60));
     let kind = features("sift", "small", 2, 60.0);
-    let first = snapshot::read(&snapshot_text(&one)).expect("valid");
-    let second = snapshot::read(&snapshot_text(&two)).expect("valid");
+    let first = snapshot::read(&snapshot_text(&one)).expect("the snapshot is valid");
+    let second = snapshot::read(&snapshot_text(&two)).expect("the snapshot is valid");
     let mut sum = Learner::new(3, Limits::default());
     assert_eq!(sum.merge(&first, time(1000.0)), MergeOutcome::Added);
     let once = forecast(&sum, &kind);
     assert_eq!(sum.merge(&first, time(1000.0)), MergeOutcome::Contained);
-    assert_eq!(forecast(&sum, &kind), once, "merged twice");
+    assert_eq!(forecast(&sum, &kind), once, "the same snapshot was counted twice");
     assert_eq!(sum.merge(&second, time(1000.0)), MergeOutcome::Added);
     assert_eq!(forecast(&sum, &kind).observations, 240);
     assert!((0.9..1.1).contains(&(median(&sum, &kind) / 40.0)));
     // A snapshot of an earlier state of the learner contains nothing new.
     let mut newer = sum.clone();
-    let older = snapshot::read(&snapshot_text(&sum)).expect("valid");
+    let older = snapshot::read(&snapshot_text(&sum)).expect("the snapshot is valid");
     learn(&mut newer, &kind, 40.0, Outcome::Completed, &mut JobObservations::default(), 1000.0);
     assert_eq!(newer.merge(&older, time(1000.0)), MergeOutcome::Contained);
     assert_eq!(newer.merge(&second, time(1000.0)), MergeOutcome::Contained);
     // If two learners share only some observations, a merge would count these twice.
     let mut other = Learner::from_snapshot(&first, 4, Limits::default(), time(1000.0));
     learn(&mut other, &kind, 40.0, Outcome::Completed, &mut JobObservations::default(), 1000.0);
-    let other = snapshot::read(&snapshot_text(&other)).expect("valid");
+    let other = snapshot::read(&snapshot_text(&other)).expect("the snapshot is valid");
     let before = forecast(&newer, &kind);
     assert_eq!(newer.merge(&other, time(1000.0)), MergeOutcome::Overlaps);
     assert_eq!(forecast(&newer, &kind), before);
