--- a/crates/forecast/src/promises.rs
+++ b/crates/forecast/src/promises.rs
@@ -35,7 +35,7 @@
     pub lateness: Span,
 }
 
-/// Promises of all unfinished jobs, and counts of the kept ones.
+/// Promises of all unfinished jobs, and counts of the judged ones.
 #[derive(Clone, Debug, Default)]
 pub struct Promises {
     /// Promise in force of each job.
