--- a/crates/crowctl/src/forecast.rs
+++ b/crates/crowctl/src/forecast.rs
@@ -1,13 +1,13 @@
-//! The forecast of a job: when it is expected to be done.
+//! `crowctl forecast ID`: the forecast of a job's finish time.
 
 use crate::arguments::Format;
 use crate::client::{Answer, Client};
 use crate::error::Error;
 use crate::jobs::{check_job_id, show_job, state_name};
-use crate::output::{share, show, span};
+use crate::output::{format_duration, format_fraction, show};
 use crowstall::protocol::users::{ForecastRecord, ForecastView, Interval, JobView, PromiseView, TaskForecast};
 
-/// Requests the forecast of a job whose id has been checked.
+/// Requests the forecast of a job. The id must have been checked with [`check_job_id`].
 pub(crate) fn fetch_forecast(client: &Client, id: &str) -> Result<ForecastView, Error> {
     request_forecast(client, id)?.parse()
 }
@@ -22,7 +22,7 @@
     let answer = request_forecast(client, id)?;
     match answer.parse::<ForecastView>() {
         Ok(view) => show(format, &view, &forecast_rows(&view)),
-        // For a job that is done or cancelled the controller answers with its state alone.
+        // For a job that is done or cancelled, the controller's answer contains only the state.
         Err(error) => match answer.parse::<JobView>() {
             Ok(view) => show_job(&view, format),
             Err(_) => Err(error),
@@ -46,11 +46,21 @@
 }
 
 fn interval_text(interval: &Interval) -> String {
-    format!("{} ({} to {})", span(interval.middle_s), span(interval.low_s), span(interval.high_s))
+    format!(
+        "{} ({} to {})",
+        format_duration(interval.middle_s),
+        format_duration(interval.low_s),
+        format_duration(interval.high_s)
+    )
 }
 
 fn promise_text(promise: &PromiseView) -> String {
-    format!("{} (made {} before, revision {})", span(promise.by_s), span(promise.made_s), promise.revisions)
+    format!(
+        "{} (made {} before, revision {})",
+        format_duration(promise.by_s),
+        format_duration(promise.made_s),
+        promise.revisions
+    )
 }
 
 fn basis_text(task: &TaskForecast) -> String {
@@ -60,7 +70,7 @@
 fn record_text(record: &ForecastRecord) -> String {
     format!(
         "{} inside their interval of 80 %, {} of promises kept",
-        share(record.inside_interval),
-        share(record.promises_kept)
+        format_fraction(record.inside_interval),
+        format_fraction(record.promises_kept)
     )
 }
