--- a/crates/crowctl/src/plot.rs
+++ b/crates/crowctl/src/plot.rs
@@ -30,7 +30,7 @@
     let canvas = SVGBackend::new(path, SIZE_PIXELS).into_drawing_area();
     canvas.fill(&WHITE)?;
     let mut chart = draw_axes(&canvas, points)?;
-    draw_line(&mut chart, points, "within a quarter", BLUE, Tally::within_quarter_share)?;
+    draw_line(&mut chart, points, "within a quarter", BLUE, Tally::within_quarter_fraction)?;
     draw_line(&mut chart, points, "inside the 80 % interval", RED, Tally::coverage)?;
     chart.configure_series_labels().background_style(WHITE).border_style(BLACK).draw()?;
     canvas.present()
--- a/crates/crowctl/src/replay.rs
+++ b/crates/crowctl/src/replay.rs
@@ -107,7 +107,7 @@
 
 impl Accuracy {
     fn new(tally: Tally) -> Accuracy {
-        Accuracy { judged: tally.judged, within_quarter: tally.within_quarter_share(), coverage80: tally.coverage() }
+        Accuracy { judged: tally.judged, within_quarter: tally.within_quarter_fraction(), coverage80: tally.coverage() }
     }
 
     fn text(&self) -> String {
--- a/crates/forecast/benches/learning.rs
+++ b/crates/forecast/benches/learning.rs
@@ -26,14 +26,14 @@
 
 /// Prints the memory of a learner and the sizes of its snapshots.
 fn print_sizes(count: usize, learner: &Learner, whole: &str, limited: &str) {
-    let (memory, kinds) = (learner.memory(), learner.kinds());
+    let (memory_bytes, cell_count) = (learner.memory_bytes(), learner.cell_count());
     println!(
-        "after {count} observations: {kinds} kinds of work, {memory} bytes in memory, {} for each, snapshot {} \
-         bytes, at most {LIMITED_BYTES}: {} bytes with {} kinds",
-        memory / kinds.max(1),
+        "after {count} observations: {cell_count} kinds of work, {memory_bytes} bytes in memory, {} for each, snapshot \
+         {} bytes, at most {LIMITED_BYTES}: {} bytes with {} kinds",
+        memory_bytes / cell_count.max(1),
         whole.len(),
         limited.len(),
-        snapshot::read(limited).map_or(0, |snapshot| snapshot.kinds()),
+        snapshot::read(limited).map_or(0, |snapshot| snapshot.cell_count()),
     );
 }
 
--- a/crates/forecast/src/calibration.rs
+++ b/crates/forecast/src/calibration.rs
@@ -45,7 +45,7 @@
 
     /// Returns the fraction of medians that were off by at most a quarter, from 0 to 1; `None` if no interval was
     /// judged.
-    pub fn within_quarter_share(&self) -> Option<f64> {
+    pub fn within_quarter_fraction(&self) -> Option<f64> {
         (self.judged > 0).then(|| self.within_quarter as f64 / self.judged as f64)
     }
 
--- a/crates/forecast/src/learner.rs
+++ b/crates/forecast/src/learner.rs
@@ -70,14 +70,14 @@
 pub struct Limits {
     /// Maximum memory of a learner, in bytes. Beyond it the least useful cells are evicted; their observations remain
     /// in the coarser cells.
-    pub memory: usize,
+    pub max_memory_bytes: usize,
     /// Time without new observations after which evidence counts half.
     pub half_life: Span,
 }
 
 impl Default for Limits {
     fn default() -> Limits {
-        Limits { memory: 64 * 1024, half_life: Span::secs(7200.0) }
+        Limits { max_memory_bytes: 64 * 1024, half_life: Span::secs(7200.0) }
     }
 }
 
@@ -220,20 +220,20 @@
     }
 
     /// Returns the memory in use, in bytes, as the sum over all cells, map entries and the learner itself.
-    pub fn memory(&self) -> usize {
+    pub fn memory_bytes(&self) -> usize {
         // The nodes of a B-tree map are at least half full.
         let entry = 2 * size_of::<(CellKey, Box<Cell>)>();
         self.cell_bytes + self.cells.len() * entry + size_of::<Learner>()
     }
 
     /// Returns the number of cells, that is, of groups of similar tasks.
-    pub fn kinds(&self) -> usize {
+    pub fn cell_count(&self) -> usize {
         self.cells.len()
     }
 
     /// Evicts the least useful cells until the memory limit is met.
     fn evict(&mut self, now: Time) {
-        while self.memory() > self.limits.memory && self.cells.len() > 1 {
+        while self.memory_bytes() > self.limits.max_memory_bytes && self.cells.len() > 1 {
             let mut candidates: Vec<(f64, CellKey)> = self
                 .cells
                 .iter()
@@ -254,7 +254,7 @@
     }
 
     /// Removes the cells of a class. Its contribution to the cell of all tasks remains and decays with time.
-    pub fn forget(&mut self, class: &Name) {
+    pub fn remove_class(&mut self, class: &Name) {
         self.cells.retain(|key, _| key.class() != Some(class));
         self.recompute_cell_bytes();
     }
--- a/crates/forecast/src/promises.rs
+++ b/crates/forecast/src/promises.rs
@@ -15,13 +15,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Promise {
     /// Time at which the promise was made.
-    pub made: Time,
+    pub made_at: Time,
     /// Tenth percentile of the finish time.
     pub low: Time,
     /// Median of the finish time.
     pub median: Time,
     /// Promised time: the ninetieth percentile of the finish time.
-    pub by: Time,
+    pub promised_finish: Time,
     /// Number of earlier promises for the same job that were replaced.
     pub revisions: u32,
 }
@@ -45,7 +45,7 @@
     /// First promise of each job. Users plan with it, so it is the one that is judged.
     first: HashMap<JobId, Promise>,
     /// Counts of judged promises.
-    pub tally: Tally,
+    pub judged: Tally,
     /// Sum of the lateness of all judged promises.
     pub total_lateness: Span,
 }
@@ -78,24 +78,25 @@
         let median = finish.median;
         let widened = |width: Span, log_widening: f64| width.times(log_widening.exp());
         Promise {
-            made: now,
+            made_at: now,
             low: now + (median - widened(median - finish.low, self.widening.low)),
             median: now + median,
-            by: now + median + widened(finish.high - median, self.widening.high),
+            promised_finish: now + median + widened(finish.high - median, self.widening.high),
             revisions: 0,
         }
     }
 
     /// Judges the first promise of a job that is done, and removes all of its promises; returns `None` if there was
     /// none.
-    pub fn job_done(&mut self, job: &JobId, now: Time) -> Option<JudgedPromise> {
+    pub fn judge_finished_job(&mut self, job: &JobId, now: Time) -> Option<JudgedPromise> {
         self.in_force.remove(job);
         let promise = self.first.remove(job)?;
-        let since_made = |time: Time| time.since(promise.made).as_secs();
-        let (low, median, by) = (since_made(promise.low), since_made(promise.median), since_made(promise.by));
-        self.tally.judge(low, median, by, since_made(now));
-        self.widening.adapt(now < promise.low, now > promise.by, 1.0);
-        let lateness = now.since(promise.by);
+        let since_made = |time: Time| time.since(promise.made_at).as_secs();
+        let (low, median, promised_finish) =
+            (since_made(promise.low), since_made(promise.median), since_made(promise.promised_finish));
+        self.judged.judge(low, median, promised_finish, since_made(now));
+        self.widening.adapt(now < promise.low, now > promise.promised_finish, 1.0);
+        let lateness = now.since(promise.promised_finish);
         self.total_lateness = self.total_lateness + lateness;
         Some(JudgedPromise { promise, lateness })
     }
@@ -115,5 +116,5 @@
 /// Returns `true` if the promise `old` remains in force although `fresh` would be made now.
 fn remains_in_force(old: &Promise, fresh: &Promise, remaining: Span, now: Time) -> bool {
     let moved = old.median.since(fresh.median).max(fresh.median.since(old.median));
-    now <= old.by && moved <= remaining.times(REVISION_FRACTION).max(MIN_REVISION)
+    now <= old.promised_finish && moved <= remaining.times(REVISION_FRACTION).max(MIN_REVISION)
 }
--- a/crates/forecast/src/snapshot.rs
+++ b/crates/forecast/src/snapshot.rs
@@ -292,7 +292,7 @@
     }
 
     /// Returns the number of cells, that is, of groups of similar tasks.
-    pub fn kinds(&self) -> usize {
+    pub fn cell_count(&self) -> usize {
         self.0.cells.len()
     }
 }
--- a/crates/forecast/tests/properties/finish_times.rs
+++ b/crates/forecast/tests/properties/finish_times.rs
@@ -87,15 +87,16 @@
             FinishForecast { low: median, median: Span::secs(2.0 * median_s), high: Span::secs(3.0 * median_s) };
         let revised = promises.promise(&job, doubled, now + Span::secs(1.0));
         assert_eq!(revised.revisions, 1);
-        assert!(revised.by > first.by);
+        assert!(revised.promised_finish > first.promised_finish);
         let end = now + Span::secs(log_normal(&mut rng, median_s, 0.25));
-        let JudgedPromise { promise, lateness } = promises.job_done(&job, end).expect("the job had a promise");
-        assert_eq!((promise, lateness), (first, end.since(first.by)));
+        let JudgedPromise { promise, lateness } =
+            promises.judge_finished_job(&job, end).expect("the job had a promise");
+        assert_eq!((promise, lateness), (first, end.since(first.promised_finish)));
         kept += u64::from(lateness == Span::ZERO);
         total_lateness = total_lateness + lateness;
         now += Span::secs(3.0);
     }
-    assert_eq!(promises.tally.judged - promises.tally.above, kept);
+    assert_eq!(promises.judged.judged - promises.judged.above, kept);
     assert_eq!(promises.total_lateness, total_lateness);
     assert_eq!(promises.job_count(), 0);
     assert!((1740..=1860).contains(&kept), "{kept} of 2000 were kept");
--- a/crates/forecast/tests/properties/replays.rs
+++ b/crates/forecast/tests/properties/replays.rs
@@ -21,7 +21,7 @@
         // The learner must have judged the same intervals for its calibration as the replay.
         assert_eq!(replay.learner.calibration.overall(), summary.all(), "seed {seed}");
         let all = summary.all();
-        let within_quarter = all.within_quarter_share().expect("some attempts completed");
+        let within_quarter = all.within_quarter_fraction().expect("some attempts completed");
         assert!(within_quarter >= 0.6, "seed {seed}: {within_quarter} within a quarter");
         for tally in [all, summary.few_observations, summary.many_observations] {
             let coverage = tally.coverage().expect("some attempts completed");
--- a/crates/forecast/tests/properties/run_times.rs
+++ b/crates/forecast/tests/properties/run_times.rs
@@ -134,13 +134,13 @@
         if kind % 3 == 0 {
             run_jobs(&mut learner, &mut rng, &often, 40.0, 1, &mut now_s);
         }
-        assert!(learner.memory() <= 64 * 1024, "{} bytes after {kind} kinds", learner.memory());
+        assert!(learner.memory_bytes() <= 64 * 1024, "{} bytes after {kind} kinds", learner.memory_bytes());
     }
     let kept = forecast(&learner, &often);
     assert!(kept.observations >= 1900 && kept.level == Level::Kind, "{kept:?}");
     // The coarser cells must still contain the observations of an evicted cell.
     let evicted = forecast(&learner, &features("class-7", "small", 1, 10.0));
     assert!((0.5..2.0).contains(&(evicted.median.as_secs() / 10.0)), "{evicted:?}");
-    learner.forget(&Name::new("often"));
+    learner.remove_class(&Name::new("often"));
     assert_eq!(forecast(&learner, &often).observations, 0);
 }
--- a/src/coordination/forecasts.rs
+++ b/src/coordination/forecasts.rs
@@ -52,7 +52,7 @@
         if self.stores.get(&shard.id).is_some_and(|store| store.term == shard.term) {
             return;
         }
-        let limits = Limits { memory: self.properties.memory, half_life: self.properties.half_life };
+        let limits = Limits { max_memory_bytes: self.properties.memory, half_life: self.properties.half_life };
         self.stores.insert(shard.id, ForecastStore::new(shard.term, limits, now));
     }
 }
@@ -90,7 +90,10 @@
         if now.since(store.accuracy_logged_at) >= ACCURACY_LOG_INTERVAL {
             store.accuracy_logged_at = now;
             let accuracy = serde_json::to_string(&store.accuracy()).unwrap_or_default();
-            log::info!("forecasts of shard {id}: {} kinds of work learned, accuracy {accuracy}", store.learner.kinds());
+            log::info!(
+                "forecasts of shard {id}: {} kinds of work learned, accuracy {accuracy}",
+                store.learner.cell_count()
+            );
         }
     }
 
@@ -114,9 +117,9 @@
         if state == FinalState::Cancelled {
             return store.promises.remove_job(job);
         }
-        if let Some(JudgedPromise { promise, lateness }) = store.promises.job_done(job, now) {
-            let promised = promise.by.since(promise.made).as_secs();
-            let took = now.since(promise.made).as_secs();
+        if let Some(JudgedPromise { promise, lateness }) = store.promises.judge_finished_job(job, now) {
+            let promised = promise.promised_finish.since(promise.made_at).as_secs();
+            let took = now.since(promise.made_at).as_secs();
             log::debug!("job {job}: promised to finish within {promised:.1} s, took {took:.1} s");
             if lateness > Span::ZERO {
                 log::debug!("job {job} finished {:.1} s later than promised", lateness.as_secs());
@@ -187,7 +190,7 @@
 
 fn promise_view(promise: &Promise, wall_clock_ms: u64, now: Time) -> PromiseView {
     // Negative after the promised time has passed.
-    let by_s = promise.by.since(now).as_secs() - now.since(promise.by).as_secs();
+    let by_s = promise.promised_finish.since(now).as_secs() - now.since(promise.promised_finish).as_secs();
     let by_ms = wall_clock_ms.saturating_add_signed((by_s * 1000.0) as i64);
-    PromiseView { by_s, by_ms, made_s: now.since(promise.made).as_secs(), revisions: promise.revisions }
+    PromiseView { by_s, by_ms, made_s: now.since(promise.made_at).as_secs(), revisions: promise.revisions }
 }
--- a/src/coordination/forecasts/snapshots.rs
+++ b/src/coordination/forecasts/snapshots.rs
@@ -132,7 +132,7 @@
                 let merged = self.learner.merge(&snapshot, now);
                 log::info!("forecast snapshot {} with {} attempts read: {:?}", entry.key, snapshot.attempts(), merged);
                 if merged == MergeOutcome::Added {
-                    forget.iter().for_each(|class| self.learner.forget(class));
+                    forget.iter().for_each(|class| self.learner.remove_class(class));
                 }
             }
             // An unreadable snapshot costs accuracy only, and the next snapshot replaces it.
--- a/src/coordination/forecasts/store.rs
+++ b/src/coordination/forecasts/store.rs
@@ -182,19 +182,19 @@
         let before = self.promises.get(id);
         let promise = self.promises.promise(id, finish, now);
         if before != Some(promise) {
-            let (within, revisions) = (promise.by.since(now).as_secs(), promise.revisions);
+            let (within, revisions) = (promise.promised_finish.since(now).as_secs(), promise.revisions);
             log::debug!("job {id}: promised to finish within {within:.1} s (revision {revisions})");
         }
     }
 
     /// Returns the accuracy of the forecasts and promises that could be compared with actual times so far.
     pub fn accuracy(&self) -> ForecastRecord {
-        let (runs, promises) = (self.learner.calibration.overall(), self.promises.tally);
+        let (runs, promises) = (self.learner.calibration.overall(), self.promises.judged);
         let kept = 1.0 - promises.above as f64 / promises.judged.max(1) as f64;
         ForecastRecord {
             run_times_judged: runs.judged,
             inside_interval: runs.coverage(),
-            within_quarter: runs.within_quarter_share(),
+            within_quarter: runs.within_quarter_fraction(),
             promises_judged: promises.judged,
             promises_kept: (promises.judged > 0).then_some(kept),
         }
