--- a/tests/availability.rs
+++ b/tests/availability.rs
@@ -112,7 +112,7 @@
             }
             simulation.run_for_random(100 * MS..4 * SEC);
         }
-        simulation.faults_over_from = Some(simulation.now);
+        simulation.liveness_checked_from = Some(simulation.now);
         simulation.run_for(120 * SEC);
         simulation.assert_no_violations();
         simulation.assert_no_unfinished_jobs();
@@ -129,7 +129,7 @@
         let until = simulation.now + duration * SEC;
         let outside = other_controllers(node).chain([Endpoint::StateService, Endpoint::Cloud]);
         simulation.partition(Endpoint::Controller(node), outside, until, seed % 2 == 0);
-        simulation.faults_over_from = Some(simulation.now + 15 * SEC);
+        simulation.liveness_checked_from = Some(simulation.now + 15 * SEC);
         simulation.run_until(until + 60 * SEC);
         simulation.assert_no_violations();
     }
@@ -315,12 +315,12 @@
     }
     // An outage of 3 s while the jobs end delays their final records, which are then due all at once.
     simulation.run_until(26 * SEC);
-    let before = simulation.state_service.over_limit;
+    let before = simulation.state_service.over_limit_refusals;
     simulation.state_service.start_outage(26 * SEC, 3 * SEC);
     simulation.run_until(75 * SEC);
     simulation.assert_no_violations();
-    let over_limit = simulation.state_service.over_limit - before;
-    assert!(over_limit < 60, "{over_limit} requests refused because of the rate limit");
+    let over_limit_refusals = simulation.state_service.over_limit_refusals - before;
+    assert!(over_limit_refusals < 60, "{over_limit_refusals} requests refused because of the rate limit");
     let done = simulation.users.iter().filter(|user| user.done_at.is_some()).count();
     assert!(done >= 295, "{done} of 300 jobs are done");
 }
--- a/tests/failover.rs
+++ b/tests/failover.rs
@@ -569,7 +569,7 @@
         let cancelled = simulation.users.iter().filter(|user| user.cancelled_at.is_some()).count();
         assert_eq!(cancelled, 24, "seed {seed}: users who were told that their job is cancelled");
         let without_bounds = cancel_after_isolation(seed, DisabledSafeguard::LeadershipBounds);
-        detected_without_bounds += usize::from(without_bounds.violates(&[Rule::RanCancelled]));
+        detected_without_bounds += usize::from(without_bounds.violates(&[Rule::RanAfterCancellation]));
     }
     assert!(
         detected_without_bounds > 0,
--- a/tests/fault_combinations/disabled_safeguards.rs
+++ b/tests/fault_combinations/disabled_safeguards.rs
@@ -30,22 +30,22 @@
 
 #[test]
 fn checker_notices_answers_older_than_those_of_other_controllers() {
-    assert!(violates(DisabledSafeguard::ConsistentReads, CONSISTENCY_CHECKS, Rule::WentBack));
+    assert!(violates(DisabledSafeguard::ConsistentReads, CONSISTENCY_CHECKS, Rule::StaleAnswer));
 }
 
 #[test]
 fn checker_notices_starvation() {
-    assert!(violates(DisabledSafeguard::StartCommands, REQUESTS_AT_COMPLETION, Rule::Idle));
+    assert!(violates(DisabledSafeguard::StartCommands, REQUESTS_AT_COMPLETION, Rule::Starvation));
 }
 
 #[test]
 fn checker_notices_cancelled_tasks_that_survive_a_hang() {
-    assert!(violates(DisabledSafeguard::LeaseExpiryOfHungMachines, UNREACHABLE_MACHINES, Rule::RanCancelled));
+    assert!(violates(DisabledSafeguard::LeaseExpiryOfHungMachines, UNREACHABLE_MACHINES, Rule::RanAfterCancellation));
 }
 
 #[test]
 fn checker_notices_accepted_malformed_requests() {
-    assert!(violates(DisabledSafeguard::RequestValidation, REQUESTS_AT_COMPLETION, Rule::AcceptedOdd));
+    assert!(violates(DisabledSafeguard::RequestValidation, REQUESTS_AT_COMPLETION, Rule::AcceptedInvalid));
 }
 
 #[test]
--- a/tests/job_dependencies.rs
+++ b/tests/job_dependencies.rs
@@ -125,12 +125,12 @@
 
 #[test]
 fn checker_notices_lost_prerequisites() {
-    assert!(is_violated_without(DisabledSafeguard::Prerequisites, &[Rule::TooEarly]));
+    assert!(is_violated_without(DisabledSafeguard::Prerequisites, &[Rule::StartedBeforePrerequisites]));
 }
 
 #[test]
 fn checker_notices_dependents_that_are_not_cancelled() {
-    let rules = [Rule::Orphaned, Rule::WentBack, Rule::Forgotten];
+    let rules = [Rule::LiveAfterPrerequisiteCancelled, Rule::StaleAnswer, Rule::LostJob];
     assert!(is_violated_without(DisabledSafeguard::CancellationRecords, &rules));
 }
 
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -397,11 +397,11 @@
         let next = simulation.now + 10 * SEC;
         run_until(&mut simulation, next);
     }
-    println!("{} starts of {} tasks", simulation.starts, simulation.completed.len());
+    println!("{} starts of {} tasks", simulation.task_starts, simulation.completed.len());
     assert!(
-        simulation.starts <= simulation.completed.len() as u64 + FLEET as u64 / 100,
+        simulation.task_starts <= simulation.completed.len() as u64 + FLEET as u64 / 100,
         "{} starts of {} tasks",
-        simulation.starts,
+        simulation.task_starts,
         simulation.completed.len()
     );
     while !simulation.workers.is_empty() {
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -38,7 +38,7 @@
         }
         let now = simulation.now;
         simulation.state_service.start_outage(now, 20 * SEC);
-        simulation.faults_over_from = Some(now + 20 * SEC);
+        simulation.liveness_checked_from = Some(now + 20 * SEC);
         simulation.run_until(170 * SEC);
         simulation.assert_no_violations();
     }
--- a/tests/reconciliation.rs
+++ b/tests/reconciliation.rs
@@ -302,9 +302,9 @@
     simulation.run_until(20 * SEC);
     simulation.state_service.start_outage(simulation.now, 18 * SEC);
     simulation.run_for(6 * SEC);
-    let before = simulation.starts;
+    let before = simulation.task_starts;
     simulation.run_for(10 * SEC);
-    let starts = simulation.starts - before;
+    let starts = simulation.task_starts - before;
     simulation.run_until(120 * SEC);
     simulation.assert_no_violations();
     assert_eq!(simulation.completed.len(), 800);
--- a/tests/safety_rules.rs
+++ b/tests/safety_rules.rs
@@ -148,13 +148,13 @@
 
 #[test]
 fn checker_notices_unconditional_writes() {
-    let rules = [Rule::RanTwice, Rule::WentBack, Rule::Forgotten, Rule::Quota];
+    let rules = [Rule::ConcurrentAttempts, Rule::StaleAnswer, Rule::LostJob, Rule::Quota];
     assert!(is_violated_without(DisabledSafeguard::WriteConditions, &rules));
 }
 
 #[test]
 fn checker_notices_a_worker_lease_configured_too_short() {
-    assert!(is_violated_without(DisabledSafeguard::WorkerLeaseDuration, &[Rule::RanTwice]));
+    assert!(is_violated_without(DisabledSafeguard::WorkerLeaseDuration, &[Rule::ConcurrentAttempts]));
 }
 
 /// Isolates the first controller together with all machines while their jobs are cancelled through another controller.
@@ -179,7 +179,7 @@
 fn checker_notices_leases_renewed_too_long_by_a_deposed_leader() {
     cancel_during_isolation(1, DisabledSafeguard::None).assert_no_violations();
     let simulation = cancel_during_isolation(1, DisabledSafeguard::CancellationBound);
-    assert!(simulation.violates(&[Rule::RanCancelled]), "{:?}", simulation.violations);
+    assert!(simulation.violates(&[Rule::RanAfterCancellation]), "{:?}", simulation.violations);
 }
 
 #[test]
@@ -189,35 +189,35 @@
 
 #[test]
 fn checker_notices_incomplete_heartbeats() {
-    assert!(is_violated_without(DisabledSafeguard::CompleteHeartbeats, &[Rule::RanTwice]));
+    assert!(is_violated_without(DisabledSafeguard::CompleteHeartbeats, &[Rule::ConcurrentAttempts]));
 }
 
 #[test]
 fn checker_notices_worker_leases_that_do_not_expire() {
-    let rules = [Rule::RanTwice, Rule::RanCancelled, Rule::Quota];
+    let rules = [Rule::ConcurrentAttempts, Rule::RanAfterCancellation, Rule::Quota];
     assert!(is_violated_without(DisabledSafeguard::WorkerLeaseExpiry, &rules));
 }
 
 #[test]
 fn checker_notices_ignored_stop_commands() {
-    assert!(is_violated_without(DisabledSafeguard::StopCommands, &[Rule::RanCancelled]));
+    assert!(is_violated_without(DisabledSafeguard::StopCommands, &[Rule::RanAfterCancellation]));
 }
 
 #[test]
 fn checker_notices_stopped_clocks() {
-    let rules = [Rule::RanTwice, Rule::RanCancelled, Rule::WentBack, Rule::Forgotten, Rule::Quota];
+    let rules = [Rule::ConcurrentAttempts, Rule::RanAfterCancellation, Rule::StaleAnswer, Rule::LostJob, Rule::Quota];
     assert!(is_violated_without(DisabledSafeguard::RunningClocks, &rules));
 }
 
 #[test]
 fn checker_notices_tasks_in_the_wrong_zone() {
-    assert!(is_violated_without(DisabledSafeguard::ReportedZones, &[Rule::WrongPlace]));
+    assert!(is_violated_without(DisabledSafeguard::ReportedZones, &[Rule::PlacementConstraints]));
 }
 
 #[test]
 fn simulation_is_deterministic() {
     let (first, second) =
         (run_scenario(7, 20, 8, DisabledSafeguard::None), run_scenario(7, 20, 8, DisabledSafeguard::None));
-    assert_eq!(first.starts, second.starts);
+    assert_eq!(first.task_starts, second.task_starts);
     assert_eq!(first.cloud.rented, second.cloud.rented);
 }
--- a/tests/scheduling.rs
+++ b/tests/scheduling.rs
@@ -22,7 +22,7 @@
     simulation.add_user(large, 5 * SEC, 20 * SEC, None, false);
     simulation.run_until(20 * SEC + 240 * SEC);
     simulation.assert_no_violations();
-    assert!(simulation.starts > 150, "seed {seed}: only {} tasks were started", simulation.starts);
+    assert!(simulation.task_starts > 150, "seed {seed}: only {} tasks were started", simulation.task_starts);
     simulation.completed_tasks_of(&id) > 0
 }
 
@@ -102,7 +102,7 @@
             simulation.add_user(spec(id, JobKind::Array, "free", 20, 1.0), SEC, submit_at, None, true);
         }
         simulation.run_until(40 * SEC);
-        let (starts, rented) = (simulation.starts, simulation.cloud.rented);
+        let (starts, rented) = (simulation.task_starts, simulation.cloud.rented);
         check_sound_job_beside_failing_ones(&mut simulation, seed, starts, rented);
         check_corrected_and_cancelled_jobs(&mut simulation, seed);
         simulation.assert_no_violations();
@@ -115,7 +115,7 @@
     simulation.crash_all(SEC);
     simulation.add_user(spec(30, JobKind::Array, "free", 12, 1.0), SEC, 40 * SEC, None, false);
     simulation.run_until(75 * SEC);
-    let failing_starts = simulation.starts - starts - 12;
+    let failing_starts = simulation.task_starts - starts - 12;
     let more_rented = simulation.cloud.rented - rented;
     let done = simulation.users.last().and_then(|user| user.done_at).map(|at| at / SEC);
     assert!(done.is_some_and(|at| at < 56), "seed {seed}: the job that does not fail was done at second {done:?}");
--- a/tests/simulation/assertions.rs
+++ b/tests/simulation/assertions.rs
@@ -51,7 +51,7 @@
             open.is_empty(),
             "seed {}: accepted jobs that did not end: {open:?}, {} task starts",
             self.seed,
-            self.starts
+            self.task_starts
         );
     }
 
--- a/tests/simulation/checker.rs
+++ b/tests/simulation/checker.rs
@@ -20,47 +20,47 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rule {
     /// No task runs on two machines at the same time.
-    RanTwice,
+    ConcurrentAttempts,
     /// No task runs for longer than [`CANCELLATION_BOUND`] after its job was reported as cancelled.
-    RanCancelled,
+    RanAfterCancellation,
     /// No task starts before all tasks of its job's prerequisites are completed.
-    TooEarly,
+    StartedBeforePrerequisites,
     /// Tasks run only on the machine types, zones and spot machines that their job allows.
-    WrongPlace,
+    PlacementConstraints,
     /// No team uses more than its quota.
     Quota,
     /// Once the faults are over, no task starves although a machine has room for it.
-    Idle,
+    Starvation,
     /// No task is started and no state is reported of a job that was not submitted.
-    Invented,
+    UnknownJob,
     /// No controller reports an older state of a job than one that its user has already been told.
-    WentBack,
+    StaleAnswer,
     /// Every controller knows an accepted job, and its user gets answers once the faults are over.
-    Forgotten,
+    LostJob,
     /// A job is reported as done only after all of its tasks were completed.
-    NotDone,
+    PrematureDone,
     /// No job is reported as live for longer than [`CANCELLATION_BOUND`] after one of its prerequisites was cancelled.
-    Orphaned,
+    LiveAfterPrerequisiteCancelled,
     /// Submissions that are malformed or can never be executed are rejected.
-    AcceptedOdd,
+    AcceptedInvalid,
 }
 
 impl fmt::Display for Rule {
     /// Writes the name under which the operators' reports list the rule.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Rule::RanTwice => "ran_twice",
-            Rule::RanCancelled => "ran_cancelled",
-            Rule::TooEarly => "too_early",
-            Rule::WrongPlace => "wrong_place",
+            Rule::ConcurrentAttempts => "ran_twice",
+            Rule::RanAfterCancellation => "ran_cancelled",
+            Rule::StartedBeforePrerequisites => "too_early",
+            Rule::PlacementConstraints => "wrong_place",
             Rule::Quota => "quota",
-            Rule::Idle => "idle",
-            Rule::Invented => "invented",
-            Rule::WentBack => "went_back",
-            Rule::Forgotten => "forgotten",
-            Rule::NotDone => "not_done",
-            Rule::Orphaned => "orphaned",
-            Rule::AcceptedOdd => "accepted_odd",
+            Rule::Starvation => "idle",
+            Rule::UnknownJob => "invented",
+            Rule::StaleAnswer => "went_back",
+            Rule::LostJob => "forgotten",
+            Rule::PrematureDone => "not_done",
+            Rule::LiveAfterPrerequisiteCancelled => "orphaned",
+            Rule::AcceptedInvalid => "accepted_odd",
         })
     }
 }
@@ -113,10 +113,10 @@
 
     /// Checks the start of a task. `commanded_at` is the time at which the machine executed the start command.
     pub(super) fn check_start(&mut self, machine: u32, task: &TaskId, commanded_at: u64) {
-        self.starts += 1;
+        self.task_starts += 1;
         let Some(user) = self.users.iter().position(|user| user.spec.id == task.job) else {
             return self.record_violation(
-                Rule::Invented,
+                Rule::UnknownJob,
                 format!("task {task} of a job that was not submitted starts on machine {machine}"),
             );
         };
@@ -136,7 +136,7 @@
             }
             if self.now > cancelled_at + CANCELLATION_BOUND {
                 self.record_violation(
-                    Rule::RanCancelled,
+                    Rule::RanAfterCancellation,
                     format!("task {task} of a cancelled job starts on machine {machine}"),
                 );
             }
@@ -145,7 +145,7 @@
         let unfinished = prerequisites.clone().find(|job| !self.all_tasks_completed(job)).map(|job| job.id.clone());
         if let Some(prerequisite) = unfinished {
             self.record_violation(
-                Rule::TooEarly,
+                Rule::StartedBeforePrerequisites,
                 format!("task {task} starts before the prerequisite {prerequisite} is done"),
             );
         }
@@ -160,7 +160,7 @@
         let other = others.rfind(runs_task).map(|worker| worker.number);
         if let Some(other) = other {
             self.record_violation(
-                Rule::RanTwice,
+                Rule::ConcurrentAttempts,
                 format!("task {task} starts on machine {machine} while it runs on machine {other}"),
             );
         }
@@ -186,7 +186,7 @@
                 "task {task} starts on machine {machine} (type {}, zone {}, spot {}), which its job does not allow",
                 here.kind, here.zone, here.spot
             );
-            self.record_violation(Rule::WrongPlace, detail);
+            self.record_violation(Rule::PlacementConstraints, detail);
         }
     }
 
@@ -226,19 +226,19 @@
             );
         }
         if let Some(task) = running_too_long {
-            self.record_violation(Rule::RanCancelled, format!("task {task} of a cancelled job still runs"));
+            self.record_violation(Rule::RanAfterCancellation, format!("task {task} of a cancelled job still runs"));
         }
     }
 
     /// Checks, once the faults are over, that no task waits for too long although a machine has room for it.
     fn check_starvation(&mut self) {
-        let Some(faults_over_from) = self.faults_over_from.filter(|from| self.now >= *from) else { return };
+        let Some(liveness_checked_from) = self.liveness_checked_from.filter(|from| self.now >= *from) else { return };
         let placed_tasks = self.placed_tasks();
         let is_starved = |user: &usize| self.has_room_for_a_task_of(*user, &placed_tasks);
         let starved: Vec<usize> = (0..self.users.len()).filter(is_starved).collect();
         let starved_since = std::mem::take(&mut self.starved_since);
         for user in starved {
-            let since = starved_since.get(&user).copied().unwrap_or(self.now).max(faults_over_from);
+            let since = starved_since.get(&user).copied().unwrap_or(self.now).max(liveness_checked_from);
             let waited = self.now - since;
             self.observations.longest_starvation = self.observations.longest_starvation.max(waited);
             self.starved_since.insert(user, since);
@@ -246,7 +246,7 @@
                 let job = &self.users[user].spec.id;
                 let detail =
                     format!("a task of job {job} has waited for {} s although a machine has room for it", waited / SEC);
-                self.record_violation(Rule::Idle, detail);
+                self.record_violation(Rule::Starvation, detail);
             }
         }
     }
--- a/tests/simulation/faults.rs
+++ b/tests/simulation/faults.rs
@@ -32,7 +32,7 @@
     /// gets answers and every task is placed.
     pub fn run_without_faults(&mut self, recovery: u64, duration: u64) {
         self.cloud.boot_time_factors = None;
-        self.faults_over_from = Some(self.now + recovery);
+        self.liveness_checked_from = Some(self.now + recovery);
         self.run_for(duration);
     }
 
--- a/tests/simulation/malformed_requests.rs
+++ b/tests/simulation/malformed_requests.rs
@@ -128,11 +128,11 @@
             503 => {}
             status => {
                 let detail = format!("the invalid submission {job} got the reply {status} {}", reply.body);
-                self.record_violation(Rule::AcceptedOdd, detail);
+                self.record_violation(Rule::AcceptedInvalid, detail);
             }
         }
         if self.has_live_record(job) {
-            self.record_violation(Rule::AcceptedOdd, format!("the job {job} of an invalid submission is recorded"));
+            self.record_violation(Rule::AcceptedInvalid, format!("the job {job} of an invalid submission is recorded"));
         }
     }
 }
--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -119,7 +119,7 @@
     malformed_requests_sent: u32,
     /// Time from which the checker requires that every user gets answers and every task is placed. `None`: the faults
     /// are not over yet.
-    pub faults_over_from: Option<u64>,
+    pub liveness_checked_from: Option<u64>,
 
     /// Violations of safety rules, in the order of their detection. The simulation stops at the first one.
     pub violations: Vec<Violation>,
@@ -132,7 +132,7 @@
     /// Measurements of the run so far.
     pub observations: Observations,
     /// Number of task starts.
-    pub starts: u64,
+    pub task_starts: u64,
     /// Number of heartbeats that arrived at a running controller.
     heartbeats: u64,
     /// Time since which a task of a job has been waiting although a machine has room for it, by user.
--- a/tests/simulation/state_service.rs
+++ b/tests/simulation/state_service.rs
@@ -125,7 +125,7 @@
     /// Number of requests that concerned keys with the refused prefix.
     pub refused_prefix_requests: u64,
     /// Number of requests refused because of the limits on requests and on writes per second.
-    pub over_limit: u64,
+    pub over_limit_refusals: u64,
     /// Oversized keys, or else the conditions, of the transactions that were rejected because of their size.
     pub rejected_for_size: Vec<String>,
     /// Number of leadership terms that have begun.
@@ -253,7 +253,7 @@
     /// Refuses requests over the limit on requests per second.
     fn check_request_rate(&mut self, now: u64) -> Result<(), CallError> {
         if self.request_rate.as_mut().is_some_and(|rate| !rate.take(Time(now), 1.0)) {
-            self.over_limit += 1;
+            self.over_limit_refusals += 1;
             return Err(CallError::Refused { over_limit: true });
         }
         Ok(())
@@ -267,7 +267,7 @@
         }
         self.writes.count += call.writes();
         if self.writes.count > self.request_limits.writes_per_second {
-            self.over_limit += 1;
+            self.over_limit_refusals += 1;
             return Err(CallError::Refused { over_limit: true });
         }
         Ok(())
--- a/tests/simulation/user_answers.rs
+++ b/tests/simulation/user_answers.rs
@@ -20,7 +20,7 @@
         if request == UserRequest::PollUnknownJob {
             if reply.status == 200 {
                 self.record_violation(
-                    Rule::Invented,
+                    Rule::UnknownJob,
                     format!("the poll of a job that was not submitted got {}", reply.body),
                 );
             }
@@ -50,7 +50,7 @@
             }
             400 | 404 | 422 if was_accepted => {
                 let detail = format!("a request for the accepted job {} got the status {status}", user.spec.id);
-                self.record_violation(Rule::Forgotten, detail);
+                self.record_violation(Rule::LostJob, detail);
             }
             503 if now < self.consistency_checks_until && self.state_service.is_available(now) => {
                 self.observations.consistency_checks.deferred += 1;
@@ -75,7 +75,7 @@
                     "job {} is reported as {state} after {known_state}, in reply to a request sent {later} ms later",
                     user.spec.id
                 );
-                self.record_violation(Rule::WentBack, detail);
+                self.record_violation(Rule::StaleAnswer, detail);
             }
             return;
         }
@@ -94,7 +94,7 @@
         let spec = &self.users[index].spec;
         if !self.all_tasks_completed(spec) {
             self.record_violation(
-                Rule::NotDone,
+                Rule::PrematureDone,
                 format!("job {} is reported as done before all of its tasks are completed", spec.id),
             );
         }
@@ -106,7 +106,7 @@
         let was_requested = user.cancel_requested;
         if !was_requested && !self.prerequisite_cancel_requested(index) {
             let detail = format!("job {} is reported as cancelled without a cancel request", self.users[index].spec.id);
-            return self.record_violation(Rule::WentBack, detail);
+            return self.record_violation(Rule::StaleAnswer, detail);
         }
         let user = &mut self.users[index];
         if user.cancelled_at.is_none() && was_requested {
@@ -128,7 +128,7 @@
                 "job {} is still reported as {state} although the prerequisite {prerequisite} was cancelled",
                 user.spec.id
             );
-            self.record_violation(Rule::Orphaned, detail);
+            self.record_violation(Rule::LiveAfterPrerequisiteCancelled, detail);
         }
     }
 }
--- a/tests/simulation/user_requests.rs
+++ b/tests/simulation/user_requests.rs
@@ -41,14 +41,14 @@
     fn is_unanswered_for_too_long(&mut self, user: usize) -> bool {
         let user = &self.users[user];
         let is_live = user.accepted_at.is_some() && !user.is_over();
-        let Some(faults_over_from) = self.faults_over_from.filter(|_| is_live) else { return false };
-        let unanswered = self.now.saturating_sub(user.last_answer_at.max(faults_over_from));
+        let Some(liveness_checked_from) = self.liveness_checked_from.filter(|_| is_live) else { return false };
+        let unanswered = self.now.saturating_sub(user.last_answer_at.max(liveness_checked_from));
         self.observations.longest_unanswered = self.observations.longest_unanswered.max(unanswered);
         if unanswered <= MAX_UNANSWERED {
             return false;
         }
         let detail = format!("the user of job {} got no answer for {} s", user.spec.id, unanswered / SEC);
-        self.record_violation(Rule::Forgotten, detail);
+        self.record_violation(Rule::LostJob, detail);
         true
     }
 
--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -49,7 +49,7 @@
     println!(
         "seed {seed}: {} task starts, {} of {} jobs ended, longest time without an answer {} s, longest wait although a \
          machine had room {} s, {} leadership terms",
-        simulation.starts,
+        simulation.task_starts,
         simulation.users.iter().filter(|user| user.is_over()).count(),
         simulation.users.len(),
         simulation.observations.longest_unanswered / SEC,
@@ -62,7 +62,7 @@
         let is_ready = reply.as_ref().is_some_and(|reply| reply.status == 200);
         assert!(is_ready, "seed {seed}: controller {node} is not ready: {reply:?}");
     }
-    assert!(simulation.starts > 0, "seed {seed}: no task was started");
+    assert!(simulation.task_starts > 0, "seed {seed}: no task was started");
 }
 
 /// Adds arrays and services, some of which are cancelled.
