--- a/benches/watch_cache.rs
+++ b/benches/watch_cache.rs
@@ -57,14 +57,14 @@
     let done = "0-40,42,45-90".to_string();
     let record = LiveRecord {
         shard: ShardId(0),
-        home: None,
+        home_shard: None,
         parts: 0,
         job,
         accepted_ms: 1_700_000_000_000,
         ready_ms: None,
         done,
         start_watermark: 250,
-        failing: false,
+        fails_everywhere: false,
     };
     (format!("live/wk-{number:06}"), to_value(&record))
 }
--- a/src/coordination/dependencies/final_record.rs
+++ b/src/coordination/dependencies/final_record.rs
@@ -4,16 +4,16 @@
 use crate::model::{FinalState, JobId, Revision};
 use crate::protocol::state::{Change, Condition, StateCall};
 use crate::storage::keys;
-use crate::storage::records::{EndRecord, to_value};
+use crate::storage::records::{FinalRecord, to_value};
 
 /// Returns the transaction that replaces the live record of a job, in the given version, by its final record.
 pub(in crate::coordination) fn final_record_request(
     leadership: LeadershipTerm,
     id: &JobId,
     version: Revision,
-    end: &EndRecord,
+    end: &FinalRecord,
 ) -> StateCall {
-    let (live_key, final_key) = (keys::live_key(id), keys::end_key(id));
+    let (live_key, final_key) = (keys::live_key(id), keys::final_key(id));
     StateCall::Commit {
         conditions: vec![
             leadership.condition(),
@@ -26,6 +26,6 @@
 
 /// Returns the final record of a job that was cancelled while it waited for prerequisites, either by its user or
 /// because its prerequisite `cause` was cancelled.
-pub(super) fn cancelled_before_start(cause: Option<JobId>) -> EndRecord {
-    EndRecord { state: FinalState::Cancelled, done: 0, cause }
+pub(super) fn cancelled_before_start(cause: Option<JobId>) -> FinalRecord {
+    FinalRecord { state: FinalState::Cancelled, done: 0, cause }
 }
--- a/src/coordination/dependencies/operations.rs
+++ b/src/coordination/dependencies/operations.rs
@@ -6,7 +6,7 @@
 use crate::coordination::leadership_term::LeadershipTerm;
 use crate::coordination::state_admission::TrafficClass;
 use crate::model::JobId;
-use crate::storage::records::{EndRecord, LiveRecord};
+use crate::storage::records::{FinalRecord, LiveRecord};
 use std::collections::HashSet;
 
 /// A call to the state service for a job with prerequisites.
@@ -55,7 +55,7 @@
     /// Replaces the record by that of a runnable job, because all prerequisites are done.
     Release(Box<LiveRecord>),
     /// Replaces the record by a final record, because the job is cancelled or withdrawn.
-    End(EndRecord),
+    End(FinalRecord),
     /// Reads the live record, because the outcome of a write is unknown.
     ReadLive,
     /// Reads the final record, because there is no live record.
--- a/src/coordination/dependencies/prerequisite_ends.rs
+++ b/src/coordination/dependencies/prerequisite_ends.rs
@@ -55,7 +55,7 @@
     fn list_final_records(&mut self, shard_id: ShardId, from: &JobId) {
         let Some(leadership) = self.shards.get(&shard_id).map(Shard::leadership_term) else { return };
         let after = Some(last_key_before(from));
-        let request = StateCall::List { prefix: keys::ENDS, after };
+        let request = StateCall::List { prefix: keys::FINALS, after };
         self.call_state(request, DependencyOperation::ListFinalRecords { leadership });
     }
 
@@ -83,7 +83,7 @@
 /// Returns a key after which a listing reaches the final record of the given job: the key of that record without its
 /// last character. Among job ids of the same length, only those that differ in the last digit can come first.
 fn last_key_before(job: &JobId) -> String {
-    let mut key = keys::end_key(job);
+    let mut key = keys::final_key(job);
     key.pop();
     key
 }
--- a/src/coordination/dependencies/waiting_records.rs
+++ b/src/coordination/dependencies/waiting_records.rs
@@ -13,7 +13,7 @@
 use crate::protocol::state::{Change, Condition, StateAnswer, StateCall};
 use crate::protocol::{BusyReason, CallError, Reply};
 use crate::storage::keys;
-use crate::storage::records::{EndRecord, to_value};
+use crate::storage::records::{FinalRecord, to_value};
 
 impl Controller {
     /// Writes or reads the due records of waiting jobs, as far as the rate limits allow.
@@ -254,7 +254,7 @@
     }
 
     /// Handles the durable end of a waiting job.
-    fn waiting_job_ended(&mut self, shard_id: ShardId, id: &JobId, end: EndRecord) {
+    fn waiting_job_ended(&mut self, shard_id: ShardId, id: &JobId, end: FinalRecord) {
         let Some(shard) = self.shards.get_mut(&shard_id) else { return };
         let waiting = shard.waiting_jobs.remove_waiting_job(id);
         log::info!("waiting job {id} ended as {:?} before any of its tasks was started", end.state);
--- a/src/coordination/directory.rs
+++ b/src/coordination/directory.rs
@@ -1,7 +1,7 @@
 //! Caches of the shards to which jobs and machines belong, and of the final records of jobs.
 
 use crate::model::{JobId, MachineId, ShardId};
-use crate::storage::records::EndRecord;
+use crate::storage::records::FinalRecord;
 use std::collections::{HashMap, VecDeque};
 
 /// Maximum number of jobs or machines in each table of shards. A table that exceeds it is cleared and fills again with
@@ -22,7 +22,7 @@
     }
 
     /// Returns the final record of a job, if it is cached.
-    pub fn end_of(&self, job: &JobId) -> Option<&EndRecord> {
+    pub fn end_of(&self, job: &JobId) -> Option<&FinalRecord> {
         self.ended.records.get(job)
     }
 
@@ -32,7 +32,7 @@
     }
 
     /// Caches the final record of a job. The record must be durable at the state service already.
-    pub fn record_end(&mut self, job: JobId, end: EndRecord) {
+    pub fn record_end(&mut self, job: JobId, end: FinalRecord) {
         self.ended.insert(job, end);
     }
 
@@ -84,7 +84,7 @@
 
 /// Final records of the jobs that ended last. Those of older jobs are read from the state service.
 struct EndedJobs {
-    records: HashMap<JobId, EndRecord>,
+    records: HashMap<JobId, FinalRecord>,
     /// Jobs with a cached record, in the order in which this node learned of their ends.
     oldest_first: VecDeque<JobId>,
     capacity: usize,
@@ -95,7 +95,7 @@
         EndedJobs { records: HashMap::new(), oldest_first: VecDeque::new(), capacity }
     }
 
-    fn insert(&mut self, job: JobId, end: EndRecord) {
+    fn insert(&mut self, job: JobId, end: FinalRecord) {
         if self.records.insert(job.clone(), end).is_none() {
             self.oldest_first.push_back(job);
         }
--- a/src/coordination/job_persistence/end_of_job.rs
+++ b/src/coordination/job_persistence/end_of_job.rs
@@ -7,7 +7,7 @@
 use crate::model::{FinalState, JobId, ShardId};
 use crate::protocol::CallError;
 use crate::protocol::state::{StateAnswer, StateResult};
-use crate::storage::records::EndRecord;
+use crate::storage::records::FinalRecord;
 
 /// Result of a request to write a final record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -88,7 +88,7 @@
         let Some(job) = shard.jobs.get_mut(id) else { return };
         job.record.call_in_flight = true;
         job.record.write_refused = false;
-        let end = EndRecord { state, done: job.progress.done.len(), cause: None };
+        let end = FinalRecord { state, done: job.progress.done.len(), cause: None };
         let request = final_record_request(leadership, id, job.record.version, &end);
         if state == FinalState::Cancelled {
             self.mark_cancellation_in_doubt(id);
@@ -122,7 +122,7 @@
         log::info!("job {id}: final state {state:?} is recorded; stopping its remaining attempts");
         self.judge_promise(shard_id, id, state);
         self.directory.forget_job_shard(id);
-        self.directory.record_end(id.clone(), EndRecord { state, done: job.progress.done.len(), cause: None });
+        self.directory.record_end(id.clone(), FinalRecord { state, done: job.progress.done.len(), cause: None });
         self.prerequisite_ended(id, state);
         for requester in job.cancel_requesters {
             self.cancel(requester, id.clone());
--- a/src/coordination/job_persistence/progress.rs
+++ b/src/coordination/job_persistence/progress.rs
@@ -21,14 +21,14 @@
 fn live_record(shard: ShardId, job: &Job) -> LiveRecord {
     LiveRecord {
         shard,
-        home: None,
+        home_shard: None,
         parts: 0,
         job: job.spec.clone(),
         accepted_ms: job.accepted_ms,
         ready_ms: (job.ready_ms != job.accepted_ms).then_some(job.ready_ms),
         done: String::new(),
         start_watermark: job.wanted_start_watermark(),
-        failing: job.failures.fails_everywhere,
+        fails_everywhere: job.failures.fails_everywhere,
     }
 }
 
@@ -37,7 +37,9 @@
 /// completed tasks until these are recorded.
 fn recorded_tasks(job: &Job, base_bytes: usize, value_bytes: usize) -> RangeSet {
     match job.record.size {
-        RecordSize::Fits => job.progress.done.within(value_bytes.saturating_sub(base_bytes + RECORD_SIZE_MARGIN)),
+        RecordSize::Fits => {
+            job.progress.done.truncated_to_bytes(value_bytes.saturating_sub(base_bytes + RECORD_SIZE_MARGIN))
+        }
         RecordSize::TooLargeWithRanges | RecordSize::TooLarge => RangeSet::new(),
     }
 }
@@ -75,7 +77,7 @@
             done,
             done_count: job.progress.done.len(),
             start_watermark: record.start_watermark,
-            fails_everywhere: record.failing,
+            fails_everywhere: record.fails_everywhere,
         };
         let key = keys::live_key(id);
         let request = StateCall::Commit {
--- a/src/coordination/job_persistence/unknown_outcome.rs
+++ b/src/coordination/job_persistence/unknown_outcome.rs
@@ -7,7 +7,7 @@
 use crate::model::{JobId, ShardId};
 use crate::protocol::state::{Entry, StateAnswer, StateCall, StateResult};
 use crate::storage::keys;
-use crate::storage::records::{EndRecord, LiveRecord};
+use crate::storage::records::{FinalRecord, LiveRecord};
 
 impl Controller {
     pub(super) fn read_records(&mut self, shard_id: ShardId, ids: Vec<JobId>) {
@@ -60,7 +60,7 @@
         let Some(job) = self.job_mut(shard_id, id) else { return };
         job.record.call_in_flight = true;
         self.admit_next_step(TrafficClass::FinalRecord);
-        let request = StateCall::Get(keys::end_key(id));
+        let request = StateCall::Get(keys::final_key(id));
         self.call_for_job(leadership, id, request, JobRecordOperation::ReadFinal);
     }
 
@@ -68,7 +68,7 @@
         let Ok(StateAnswer::Found(entry)) = answer else {
             return self.job_call_unanswered(shard_id, id, false);
         };
-        match serde_json::from_value::<EndRecord>(entry.value) {
+        match serde_json::from_value::<FinalRecord>(entry.value) {
             Ok(end) => self.job_ended(shard_id, id, end.state),
             Err(_) => {
                 self.write_final_record(shard_id, id);
--- a/src/coordination/job_record_reads.rs
+++ b/src/coordination/job_record_reads.rs
@@ -4,7 +4,7 @@
 use crate::protocol::state::StateResult;
 use crate::protocol::state::{Entry, StateAnswer, StateCall};
 use crate::storage::keys;
-use crate::storage::records::{EndRecord, LiveRecord};
+use crate::storage::records::{FinalRecord, LiveRecord};
 use serde::de::DeserializeOwned;
 
 /// Kind of a job's record. At any time an accepted job has exactly one record: a live record or a final record.
@@ -32,7 +32,7 @@
     /// The job has not ended.
     Live(Box<VersionedRecord>),
     /// The job has ended.
-    Final(EndRecord),
+    Final(FinalRecord),
     /// The job has no live record, so the final record has to be read next.
     NotLive,
     /// The job has no final record. If it had no live record before, it was never accepted.
@@ -48,7 +48,7 @@
     pub fn request(self, job: &JobId) -> StateCall {
         StateCall::Get(match self {
             JobRecordKind::Live => keys::live_key(job),
-            JobRecordKind::Final => keys::end_key(job),
+            JobRecordKind::Final => keys::final_key(job),
         })
     }
 
--- a/src/coordination/leadership/acquisition.rs
+++ b/src/coordination/leadership/acquisition.rs
@@ -78,7 +78,7 @@
         let overlap = inherited_bounds(fenced, previous)
             .map(|bounds| InheritedOverlap { bounds, deposed: fenced.map(|fenced| fenced.leader.clone()) });
         AcquisitionContext {
-            same_quotas: previous.limits.as_ref() == Some(&self.settings.limits_digest),
+            same_quotas: previous.quotas_digest.as_ref() == Some(&self.settings.limits_digest),
             reacquired: matches!(reason, AcquisitionReason::OwnFormerIncarnation),
             overlap,
         }
@@ -96,11 +96,11 @@
         let leader_record = ShardRecord {
             node: self.settings.label.clone(),
             incarnation: self.incarnation,
-            front: Some(self.settings.front),
+            client_addr: Some(self.settings.front),
             bounds: self.leadership.bounds,
         };
         let previous_term_record = PreviousTermRecord {
-            limits: previous.record.limits.filter(|_| context.same_quotas),
+            quotas_digest: previous.record.quotas_digest.filter(|_| context.same_quotas),
             overlap: context.overlap_bounds(),
         };
         vec![
--- a/src/coordination/leadership/leader_poll.rs
+++ b/src/coordination/leadership/leader_poll.rs
@@ -112,7 +112,7 @@
             return;
         }
         self.membership.record_leadership(id, entry.version, &record.node, record.incarnation, record.bounds, self.now);
-        self.leadership.failure_detection.set_probe_address(&record.node, record.front);
+        self.leadership.failure_detection.set_probe_address(&record.node, record.client_addr);
         self.leadership_confirmed(LeadershipTerm { shard: id, term: entry.version }, sent);
         match self.shards.get(&id).map(|shard| shard.term) {
             Some(term) if term < entry.version => self.step_down(id, StepDownReason::TermReplaced),
@@ -144,7 +144,7 @@
         }
         // The former process has certainly exited, because only one process can listen at an address and this one
         // does. There is no need to wait until the lease of the former process expires.
-        let same_address = record.front == Some(self.settings.front);
+        let same_address = record.client_addr == Some(self.settings.front);
         let may_reacquire = same_address && self.settings.properties.recovery.reacquire_own;
         may_reacquire.then_some(AcquisitionReason::OwnFormerIncarnation)
     }
--- a/src/coordination/replica.rs
+++ b/src/coordination/replica.rs
@@ -311,7 +311,7 @@
         let id = leadership.shard;
         let Some(shard) = self.shards.get_mut(&id) else { return };
         for (_, version, record) in self.replica.jobs.records() {
-            if record.decided_in() == id {
+            if record.deciding_shard() == id {
                 shard.load_job(record.clone(), version);
             }
         }
--- a/src/coordination/shard/job.rs
+++ b/src/coordination/shard/job.rs
@@ -213,7 +213,7 @@
             order: QueueOrder { ready_ms, job: record.job.id.clone() },
             runtimes: TaskRuntimes::inherited(&progress.unreconciled),
             record: JobRecordState::new(&record, version, &progress.done),
-            failures: FailureHistory::of_record(record.failing),
+            failures: FailureHistory::of_record(record.fails_everywhere),
             progress,
             ending: None,
             cancel_requesters: Vec::new(),
--- a/src/coordination/shard/job_record.rs
+++ b/src/coordination/shard/job_record.rs
@@ -77,7 +77,7 @@
             recorded_tasks: done.clone(),
             recorded_count: done.len(),
             start_watermark: record.start_watermark.min(record.job.tasks),
-            fails_everywhere: record.failing,
+            fails_everywhere: record.fails_everywhere,
             call_in_flight: false,
             outcome_unknown: false,
             final_write_in_doubt: false,
@@ -125,7 +125,7 @@
         self.recorded_tasks = RangeSet::parse(&record.done, tasks).unwrap_or_default();
         self.recorded_count = self.recorded_tasks.len();
         self.start_watermark = record.start_watermark.min(tasks);
-        self.fails_everywhere = record.failing;
+        self.fails_everywhere = record.fails_everywhere;
         self.outcome_unknown = false;
     }
 }
--- a/src/coordination/shard_recovery/loading.rs
+++ b/src/coordination/shard_recovery/loading.rs
@@ -49,7 +49,7 @@
     /// Returns the previous-term record as written by the commit that acquired leadership.
     fn record_of_new_term(&self, context: &AcquisitionContext) -> PreviousTermRecord {
         PreviousTermRecord {
-            limits: context.same_quotas.then(|| self.settings.limits_digest.clone()),
+            quotas_digest: context.same_quotas.then(|| self.settings.limits_digest.clone()),
             overlap: context.overlap_bounds(),
         }
     }
@@ -84,7 +84,7 @@
         let Some(shard) = self.shard_in_term(leadership) else { return };
         for entry in &page.entries {
             match serde_json::from_value::<LiveRecord>(entry.value.clone()) {
-                Ok(record) if record.decided_in() == shard.id => shard.load_job(record, entry.version),
+                Ok(record) if record.deciding_shard() == shard.id => shard.load_job(record, entry.version),
                 Ok(_) => {}
                 Err(error) => {
                     log::error!("shard {}: job record {} can't be read and is skipped: {error}", shard.id, entry.key);
--- a/src/coordination/shard_recovery/quotas.rs
+++ b/src/coordination/shard_recovery/quotas.rs
@@ -40,8 +40,9 @@
     fn previous_term_record(&self, shard: &Shard, recorded: &PreviousTermRecord) -> PreviousTermRecord {
         let overlap = shard.leadership.overlap.as_ref();
         let overlaps = overlap.is_some_and(|overlap| !overlap.is_over(self.now));
-        let limits = if shard.leadership.same_quotas { recorded.limits.clone() } else { self.met_quotas_digest(shard) };
-        PreviousTermRecord { limits, overlap: recorded.overlap.filter(|_| overlaps) }
+        let quotas_digest =
+            if shard.leadership.same_quotas { recorded.quotas_digest.clone() } else { self.met_quotas_digest(shard) };
+        PreviousTermRecord { quotas_digest, overlap: recorded.overlap.filter(|_| overlaps) }
     }
 
     /// Returns the digest of this node's quotas if all machines are reconciled and every team is within its quota.
@@ -66,7 +67,7 @@
         self.recoveries.recording_quotas.remove(&id);
         let Some(shard) = self.shard_in_term(leadership) else { return };
         if let Ok(StateAnswer::Committed(version)) = answer {
-            shard.leadership.same_quotas |= record.limits.is_some();
+            shard.leadership.same_quotas |= record.quotas_digest.is_some();
             self.leadership.set_previous_term(id, version, record);
         }
     }
--- a/src/coordination/user_requests/acceptance.rs
+++ b/src/coordination/user_requests/acceptance.rs
@@ -76,7 +76,7 @@
         let conditions = vec![
             new_job.leadership_term().condition(),
             Condition::absent(key.clone()),
-            Condition::absent(keys::end_key(id)),
+            Condition::absent(keys::final_key(id)),
         ];
         let mut changes = vec![Change::Put { key, value: to_value(&new_job.record), lease: None }];
         if new_job.path == AcceptancePath::Handoff {
--- a/src/coordination/user_requests/handoff.rs
+++ b/src/coordination/user_requests/handoff.rs
@@ -59,7 +59,7 @@
     /// Adopts the job if its live record was read and belongs to the shard.
     fn adopt_handed_off(&mut self, shard_id: ShardId, sent_at: Time, answer: StateResult) -> AdoptionOutcome {
         match JobRecordKind::Live.interpret(answer) {
-            JobRecordAnswer::Live(found) if found.record.decided_in() == shard_id => {
+            JobRecordAnswer::Live(found) if found.record.deciding_shard() == shard_id => {
                 self.adopt_from_record(shard_id, *found, sent_at, AdoptionSource::Handoff)
             }
             JobRecordAnswer::Unanswered => AdoptionOutcome::Retry,
--- a/src/coordination/user_requests/lookup.rs
+++ b/src/coordination/user_requests/lookup.rs
@@ -13,7 +13,7 @@
 use crate::protocol::users::JobState;
 use crate::protocol::{BusyReason, Reply};
 use crate::storage::range_set::RangeSet;
-use crate::storage::records::{EndRecord, LiveRecord};
+use crate::storage::records::{FinalRecord, LiveRecord};
 
 impl Controller {
     /// Begins to answer a request from the job's records, or replies "busy" if the rate limits admit no read.
@@ -46,7 +46,7 @@
     }
 
     /// Answers a request about a job that has ended.
-    fn final_record_found(&mut self, lookup: JobLookup, end: EndRecord) {
+    fn final_record_found(&mut self, lookup: JobLookup, end: FinalRecord) {
         self.reply(lookup.requester, final_reply(&lookup.job, &end));
         self.directory.record_end(lookup.job, end);
     }
@@ -67,7 +67,7 @@
 
     /// Answers a request about a job that had not ended when its record was read.
     fn live_record_found(&mut self, lookup: JobLookup, found: VersionedRecord) {
-        let (id, shard_id) = (found.record.job.id.clone(), found.record.decided_in());
+        let (id, shard_id) = (found.record.job.id.clone(), found.record.deciding_shard());
         self.directory.set_job_shard(lookup.job.clone(), shard_id);
         if let Some(end) = self.directory.end_of(&id) {
             // The job has ended after the record was read.
--- a/src/coordination/user_requests/new_job.rs
+++ b/src/coordination/user_requests/new_job.rs
@@ -107,7 +107,7 @@
 
 /// Returns `true` if a new job's record fits into a value, including the growth reserved for later updates.
 fn fits_value(record: &LiveRecord, value_bytes: usize) -> bool {
-    to_value(record).to_string().len() <= value_bytes.saturating_sub(records::MAX_LATER_GROWTH)
+    to_value(record).to_string().len() <= value_bytes.saturating_sub(records::MAX_LATER_GROWTH_BYTES)
 }
 
 /// Returns the first live record of a job. The record of a job that waits for prerequisites names a shard that no
@@ -117,13 +117,13 @@
     let start_watermark = job.tasks.min(INITIAL_START_WATERMARK);
     LiveRecord {
         shard: if waits { NO_SHARD } else { shard },
-        home: waits.then_some(shard),
+        home_shard: waits.then_some(shard),
         parts: 0,
         job,
         accepted_ms,
         ready_ms: None,
         done: String::new(),
         start_watermark,
-        failing: false,
+        fails_everywhere: false,
     }
 }
--- a/src/coordination/user_requests/views.rs
+++ b/src/coordination/user_requests/views.rs
@@ -4,7 +4,7 @@
 use crate::model::{FinalState, JobId};
 use crate::protocol::users::{JobState, JobView};
 use crate::protocol::{BusyReason, Reply};
-use crate::storage::records::EndRecord;
+use crate::storage::records::FinalRecord;
 
 /// Returns the reply that reports a job's state, with its numbers of completed and running tasks.
 pub(in crate::coordination) fn state_reply(id: &JobId, state: JobState, done: u32, running: u32) -> Reply {
@@ -12,7 +12,7 @@
 }
 
 /// Returns the reply that reports the end of a job according to its final record.
-pub(in crate::coordination) fn final_reply(id: &JobId, end: &EndRecord) -> Reply {
+pub(in crate::coordination) fn final_reply(id: &JobId, end: &FinalRecord) -> Reply {
     let state = match end.state {
         FinalState::Done => JobState::Done,
         FinalState::Cancelled => JobState::Cancelled,
--- a/src/coordination/waiting_jobs/final_record_scan.rs
+++ b/src/coordination/waiting_jobs/final_record_scan.rs
@@ -6,7 +6,7 @@
 use crate::model::JobId;
 use crate::protocol::state::Entry;
 use crate::storage::keys;
-use crate::storage::records::EndRecord;
+use crate::storage::records::FinalRecord;
 use crate::time::{Span, Time};
 
 /// Minimum time between the end of a scan and the start of the next one.
@@ -27,7 +27,7 @@
     /// Id of the prerequisite.
     pub job: JobId,
     /// Final record of the prerequisite.
-    pub end: EndRecord,
+    pub end: FinalRecord,
 }
 
 /// The result of scanning one listed page.
@@ -73,7 +73,7 @@
     /// Looks up the wanted prerequisites on a listed page. `more` is `true` if there are records after the page.
     pub fn page_listed(&mut self, entries: &[Entry], more: bool, now: Time) -> ScannedPage {
         let FinalRecordScan::Listing { wanted } = self else { return ScannedPage::default() };
-        let last_listed = entries.last().filter(|_| more).map(|entry| keys::job_of_end(&entry.key));
+        let last_listed = entries.last().filter(|_| more).map(|entry| keys::job_of_final_key(&entry.key));
         let is_listed = |job: &mut JobId| last_listed.as_ref().is_none_or(|last| *job <= *last);
         let mut ended = Vec::new();
         while let Some(job) = wanted.pop_if(is_listed) {
@@ -93,8 +93,8 @@
 }
 
 /// Returns the final record of a job, if it is among `entries` and can be parsed. `entries` are sorted by key.
-fn find_end(entries: &[Entry], job: &JobId) -> Option<EndRecord> {
-    let key = keys::end_key(job);
+fn find_end(entries: &[Entry], job: &JobId) -> Option<FinalRecord> {
+    let key = keys::final_key(job);
     let position = entries.binary_search_by(|entry| entry.key.as_str().cmp(&key)).ok()?;
     let record = serde_json::from_value(entries[position].value.clone());
     record
--- a/src/coordination/waiting_jobs/waiting_job.rs
+++ b/src/coordination/waiting_jobs/waiting_job.rs
@@ -97,14 +97,14 @@
     pub fn released_record(&self, shard: ShardId, ready_ms: u64) -> LiveRecord {
         LiveRecord {
             shard,
-            home: None,
+            home_shard: None,
             parts: 0,
             job: JobSpec { prerequisites: Vec::new(), ..self.spec.clone() },
             accepted_ms: self.accepted_ms,
             ready_ms: Some(ready_ms),
             done: String::new(),
             start_watermark: self.start_watermark,
-            failing: false,
+            fails_everywhere: false,
         }
     }
 
--- a/src/storage/keys.rs
+++ b/src/storage/keys.rs
@@ -8,7 +8,7 @@
 //! | `shard/new/N/JOB` | hand-off record: a controller other than the leader has accepted JOB for shard N |
 //! | `live/JOB` | [`LiveRecord`]: an accepted job that has not ended |
 //! | `part/JOB/I` | [`PartRecord`]: prerequisites that do not fit into `live/JOB` |
-//! | `end/JOB` | [`EndRecord`]: a job that has ended |
+//! | `end/JOB` | [`FinalRecord`]: a job that has ended |
 //! | `machine/ID` | [`MachineRecord`]: the shard of a machine |
 //! | `forecast/N` | [`ForecastRecord`]: run time statistics of shard N |
 //!
@@ -21,7 +21,7 @@
 //! [`LivenessRecord`]: super::records::LivenessRecord
 //! [`LiveRecord`]: super::records::LiveRecord
 //! [`PartRecord`]: super::records::PartRecord
-//! [`EndRecord`]: super::records::EndRecord
+//! [`FinalRecord`]: super::records::FinalRecord
 //! [`MachineRecord`]: super::records::MachineRecord
 //! [`ForecastRecord`]: super::records::ForecastRecord
 
@@ -34,7 +34,7 @@
 pub const LIVE: &str = "live/";
 
 /// Prefix of the final records.
-pub const ENDS: &str = "end/";
+pub const FINALS: &str = "end/";
 
 /// Prefix of the machine records.
 pub const MACHINES: &str = "machine/";
@@ -79,13 +79,13 @@
 }
 
 /// Returns the key of a job's final record.
-pub fn end_key(job: &JobId) -> String {
-    format!("{ENDS}{job}")
+pub fn final_key(job: &JobId) -> String {
+    format!("{FINALS}{job}")
 }
 
-/// Returns the job whose final record has the given key; an empty id if the key is not under [`ENDS`].
-pub fn job_of_end(key: &str) -> JobId {
-    JobId::new(key.strip_prefix(ENDS).unwrap_or_default())
+/// Returns the job whose final record has the given key; an empty id if the key is not under [`FINALS`].
+pub fn job_of_final_key(key: &str) -> JobId {
+    JobId::new(key.strip_prefix(FINALS).unwrap_or_default())
 }
 
 /// Returns the key of the part record with the given index, counted from 0, of a job.
--- a/src/storage/range_set.rs
+++ b/src/storage/range_set.rs
@@ -109,7 +109,7 @@
     }
 
     /// Returns a subset whose text takes at most `bytes` bytes. If the set does not fit, its longest ranges are kept.
-    pub fn within(&self, bytes: usize) -> RangeSet {
+    pub fn truncated_to_bytes(&self, bytes: usize) -> RangeSet {
         if self.to_string().len() <= bytes {
             return self.clone();
         }
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -9,8 +9,8 @@
 use std::net::SocketAddrV4;
 
 /// Upper bound in bytes of the growth of a live record after its first write, not counting [`LiveRecord::done`]:
-/// `ready_ms`, `failing` and numbers with more digits.
-pub const MAX_LATER_GROWTH: usize = 96;
+/// `ready_ms`, `fails_everywhere` and numbers with more digits.
+pub const MAX_LATER_GROWTH_BYTES: usize = 96;
 
 /// Value of [`LiveRecord::shard`] while a job waits for prerequisites. No shard has this number, so a version without
 /// support for prerequisites reads the record and starts none of the job's tasks (docs/upgrade.md).
@@ -31,8 +31,8 @@
     #[serde(rename = "life")]
     pub incarnation: u64,
     /// Address at which the leader serves users and workers; `None` in records of versions that did not write it.
-    #[serde(default)]
-    pub front: Option<SocketAddrV4>,
+    #[serde(rename = "front", default)]
+    pub client_addr: Option<SocketAddrV4>,
     /// Bounds on the time that the leader may continue to act after its term was last confirmed. With them, the leader
     /// may be deposed before its node lease expires, and the new leader waits for the bounds; `None` if the leader can
     /// only be replaced after the expiry.
@@ -46,7 +46,8 @@
 pub struct PreviousTermRecord {
     /// Digest of the team quotas under which all tasks that may still run were started; `None` if tasks that were
     /// started under other quotas may still run.
-    pub limits: Option<String>,
+    #[serde(rename = "limits")]
+    pub quotas_digest: Option<String>,
     /// Bounds of a leader that was deposed before its node lease had expired and may still act. The next leader waits
     /// for these bounds, counted from its own acquisition. `None` if no deposed leader can still act.
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -67,8 +68,8 @@
     /// Shard of the job, or [`NO_SHARD`] while the job waits for prerequisites.
     pub shard: ShardId,
     /// Shard of the job while `shard` is [`NO_SHARD`], and `None` otherwise.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub home: Option<ShardId>,
+    #[serde(rename = "home", default, skip_serializing_if = "Option::is_none")]
+    pub home_shard: Option<ShardId>,
     /// Number of [`PartRecord`]s that hold the prerequisites which do not fit into this record.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub parts: u32,
@@ -88,8 +89,8 @@
     #[serde(rename = "untouched", default)]
     pub start_watermark: u32,
     /// `true` if the job fails everywhere, so that the next leader does not have to repeat the failures to detect it.
-    #[serde(default, skip_serializing_if = "std::ops::Not::not")]
-    pub failing: bool,
+    #[serde(rename = "failing", default, skip_serializing_if = "std::ops::Not::not")]
+    pub fails_everywhere: bool,
 }
 
 /// Part record: prerequisites of a job that do not fit into its live record.
@@ -101,7 +102,7 @@
 
 /// Final record of a job that has ended. Final records are never deleted.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct EndRecord {
+pub struct FinalRecord {
     /// Final state of the job.
     pub state: FinalState,
     /// Number of completed tasks.
@@ -140,8 +141,8 @@
     }
 
     /// Returns the shard whose leader decides about the job, also while the job waits for prerequisites.
-    pub fn decided_in(&self) -> ShardId {
-        self.home.filter(|_| self.is_waiting()).unwrap_or(self.shard)
+    pub fn deciding_shard(&self) -> ShardId {
+        self.home_shard.filter(|_| self.is_waiting()).unwrap_or(self.shard)
     }
 }
 
--- a/tests/compatibility/samples.rs
+++ b/tests/compatibility/samples.rs
@@ -11,7 +11,7 @@
 use crowstall::protocol::workers::{Command, Exit, TaskState, TaskStatus, WorkerCall, WorkerHeartbeat};
 use crowstall::protocol::workers::{accepted, redirect};
 use crowstall::protocol::{BusyReason, Reply};
-use crowstall::storage::records::{self, EndRecord, LiveRecord, LivenessRecord};
+use crowstall::storage::records::{self, FinalRecord, LiveRecord, LivenessRecord};
 use crowstall::storage::records::{MachineRecord, PartRecord, PreviousTermRecord, ShardRecord};
 use crowstall::time::Span;
 use crowstall_forecast::Level;
@@ -88,14 +88,14 @@
 fn live_record(job: JobSpec) -> LiveRecord {
     LiveRecord {
         shard: ShardId(2),
-        home: None,
+        home_shard: None,
         parts: 0,
         job,
         accepted_ms: 1_700_000_002_001,
         ready_ms: None,
         done: "0-3,7".into(),
         start_watermark: 12,
-        failing: false,
+        fails_everywhere: false,
     }
 }
 
@@ -147,18 +147,22 @@
 
 fn visit_common_records(visitor: &mut impl SampleVisitor) {
     let node = NodeLabel::new("perch-1");
-    let front = Some("10.0.0.1:8080".parse().expect("an address"));
+    let client_addr = Some("10.0.0.1:8080".parse().expect("an address"));
     visitor.record("live/plain", live_record(plain_job()));
-    visitor.record("live/full", LiveRecord { failing: true, ..live_record(full_job()) });
-    visitor.record("end/done", EndRecord { state: FinalState::Done, done: 4, cause: None });
-    visitor.record("end/cancelled", EndRecord { state: FinalState::Cancelled, done: 0, cause: None });
+    visitor.record("live/full", LiveRecord { fails_everywhere: true, ..live_record(full_job()) });
+    visitor.record("end/done", FinalRecord { state: FinalState::Done, done: 4, cause: None });
+    visitor.record("end/cancelled", FinalRecord { state: FinalState::Cancelled, done: 0, cause: None });
     visitor.record(
         "shard/bare",
-        ShardRecord { node: node.clone(), incarnation: 5_693_141_926_459_386_523, front: None, bounds: None },
+        ShardRecord { node: node.clone(), incarnation: 5_693_141_926_459_386_523, client_addr: None, bounds: None },
+    );
+    visitor
+        .record("shard/full", ShardRecord { node: node.clone(), incarnation: 7, client_addr, bounds: Some(bounds()) });
+    visitor.record("shard/last/bare", PreviousTermRecord { quotas_digest: None, overlap: None });
+    visitor.record(
+        "shard/last/full",
+        PreviousTermRecord { quotas_digest: Some("9f86d081".into()), overlap: Some(bounds()) },
     );
-    visitor.record("shard/full", ShardRecord { node: node.clone(), incarnation: 7, front, bounds: Some(bounds()) });
-    visitor.record("shard/last/bare", PreviousTermRecord { limits: None, overlap: None });
-    visitor.record("shard/last/full", PreviousTermRecord { limits: Some("9f86d081".into()), overlap: Some(bounds()) });
     visitor.record("shard/pulse", LivenessRecord { node });
     visitor.record(
         "machine",
@@ -336,7 +340,7 @@
         "live/waiting",
         LiveRecord {
             shard: records::NO_SHARD,
-            home: Some(ShardId(1)),
+            home_shard: Some(ShardId(1)),
             parts: 2,
             ready_ms: Some(1_700_000_009_000),
             ..live_record(waiting.clone())
@@ -344,7 +348,7 @@
     );
     visitor.record(
         "end/with-cause",
-        EndRecord { state: FinalState::Cancelled, done: 0, cause: Some(JobId::new("wk-000003")) },
+        FinalRecord { state: FinalState::Cancelled, done: 0, cause: Some(JobId::new("wk-000003")) },
     );
     visitor.record("part", PartRecord { needs: prerequisites.clone() });
     visitor.message("Ask.SubmitWaiting", forwarded(ForwardedRequest::SubmitWaiting(Box::new(waiting))));
--- a/tests/protocol.rs
+++ b/tests/protocol.rs
@@ -294,7 +294,7 @@
             assert_eq!(ranges.contains(n), plain.contains(&n));
             assert_eq!(RangeSet::parse(&ranges.to_string(), 60).as_ref(), Some(&ranges));
         }
-        let part = ranges.within(40);
+        let part = ranges.truncated_to_bytes(40);
         assert!(part.to_string().len() <= 40 && part.iter().all(|n| ranges.contains(n)));
     }
     for text in ["3-1", "5,4", "1-2,2-3", "60", "x", "1--2", "4294967296"] {
--- a/tests/storage.rs
+++ b/tests/storage.rs
@@ -24,7 +24,7 @@
     assert_eq!(keys::liveness_key(shard), "shard/pulse/2");
     assert_eq!(keys::handoff_key(shard, &job), "shard/new/2/wk-7");
     assert_eq!(keys::live_key(&job), "live/wk-7");
-    assert_eq!(keys::end_key(&job), "end/wk-7");
+    assert_eq!(keys::final_key(&job), "end/wk-7");
     assert_eq!(keys::part_key(&job, 3), "part/wk-7/3");
     assert_eq!(keys::machine_key(&machine), "machine/i-1");
     assert_eq!(keys::forecast_key(shard), "forecast/2");
@@ -34,7 +34,7 @@
 fn keys_are_parsed_back() {
     let (shard, job, machine) = (ShardId(2), JobId::new("wk-7"), MachineId::new("i-1"));
     assert_eq!(keys::parse_handoff(&keys::handoff_key(shard, &job)), Some((shard, job.clone())));
-    assert_eq!(keys::job_of_end(&keys::end_key(&job)), job);
+    assert_eq!(keys::job_of_final_key(&keys::final_key(&job)), job);
     assert_eq!(keys::machine_of(&keys::machine_key(&machine)), machine);
     for other in ["shard/2", "shard/last/2", "shard/new/x/wk-7", "shard/new/2", "live/wk-7"] {
         assert_eq!(keys::parse_handoff(other), None, "{other}");
