--- a/benches/watch_cache.rs
+++ b/benches/watch_cache.rs
@@ -5,7 +5,7 @@
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use crowstall::model::{JobId, JobKind, JobSpec, Name, Priority, Quantity, Resources, Revision, ShardId};
-use crowstall::protocol::state::{LogEntry, StateAnswer, StateCall};
+use crowstall::protocol::state::{StateAnswer, StateCall, WatchedChange};
 use crowstall::storage::records::{LiveRecord, MachineRecord, to_value};
 use crowstall::time::{Span, Time};
 use crowstall_leadership::{WatchCache, WatchChange};
@@ -158,10 +158,10 @@
                 cache.next_request(now, true).expect("a request is due");
                 let Ok(StateAnswer::Changes { log, revision }) = call.answer(200, &wire) else { panic!("no changes") };
                 let read = |change| match change {
-                    LogEntry::Set { key, value, version } => {
+                    WatchedChange::Set { key, value, version } => {
                         WatchChange::Set(key, version, serde_json::from_value(value).expect("a record"))
                     }
-                    LogEntry::Delete { key, version } => WatchChange::Delete(key, version),
+                    WatchedChange::Delete { key, version } => WatchChange::Delete(key, version),
                 };
                 cache.changed(log.into_iter().map(read).collect(), revision, now);
             });
--- a/crates/crowctl/src/forecast.rs
+++ b/crates/crowctl/src/forecast.rs
@@ -5,7 +5,7 @@
 use crate::error::Error;
 use crate::jobs::{check_job_id, show_job, state_name};
 use crate::output::{share, show, span};
-use crowstall::protocol::users::{ForecastRecord, ForecastView, Interval, JobView, PromiseView, TaskForecast};
+use crowstall::protocol::users::{ForecastAccuracy, ForecastView, Interval, JobView, PromiseView, TaskForecast};
 
 /// Requests the forecast of a job whose id has been checked.
 pub(crate) fn fetch_forecast(client: &Client, id: &str) -> Result<ForecastView, Error> {
@@ -41,7 +41,7 @@
         ("promised within", view.promise.as_ref().map_or_else(none, promise_text)),
         ("a task takes", task.map_or_else(|| "until it is cancelled".into(), |task| interval_text(&task.run))),
         ("which rests on", task.map_or_else(|| "-".into(), basis_text)),
-        ("forecasts so far", record_text(&view.record)),
+        ("forecasts so far", accuracy_text(&view.record)),
     ]
 }
 
@@ -57,10 +57,10 @@
     format!("{} completed, by {:?}", task.observations, task.level)
 }
 
-fn record_text(record: &ForecastRecord) -> String {
+fn accuracy_text(accuracy: &ForecastAccuracy) -> String {
     format!(
         "{} inside their interval of 80 %, {} of promises kept",
-        share(record.inside_interval),
-        share(record.promises_kept)
+        share(accuracy.inside_interval),
+        share(accuracy.promises_kept)
     )
 }
--- a/src/coordination/controller.rs
+++ b/src/coordination/controller.rs
@@ -357,8 +357,8 @@
         match message {
             heartbeat @ PeerMessage::Heartbeat { .. } => self.handle_peer_heartbeat(from, heartbeat),
             PeerMessage::Released { shard } => self.leadership_handed_over(shard),
-            PeerMessage::Take { machine, shard } => self.offered_machine_requested(machine, shard),
-            PeerMessage::Moved { machine, shard } => self.machine_transferred_here(machine, shard),
+            PeerMessage::RequestMachine { machine, shard } => self.offered_machine_requested(machine, shard),
+            PeerMessage::MachineTransferred { machine, shard } => self.machine_transferred_here(machine, shard),
             PeerMessage::ClientRequest { number, shard, client_request } => {
                 self.handle_forwarded_request(Requester::Peer { node: from, number }, shard, client_request);
             }
--- a/src/coordination/forecasts/store.rs
+++ b/src/coordination/forecasts/store.rs
@@ -8,7 +8,7 @@
 use super::snapshots::SnapshotState;
 use crate::config::Settings;
 use crate::model::{JobId, JobKind, JobSpec, Name, Revision};
-use crate::protocol::users::ForecastRecord;
+use crate::protocol::users::ForecastAccuracy;
 use crate::time::{Span, Time};
 use crowstall_forecast::{
     self as forecast, FinishForecast, FinishInputs, Learner, Limits, Promises, RunTimeForecast, TaskFeatures,
@@ -188,10 +188,10 @@
     }
 
     /// Returns the accuracy of the forecasts and promises that could be compared with actual times so far.
-    pub fn accuracy(&self) -> ForecastRecord {
+    pub fn accuracy(&self) -> ForecastAccuracy {
         let (runs, promises) = (self.learner.calibration.overall(), self.promises.tally);
         let kept = 1.0 - promises.above as f64 / promises.judged.max(1) as f64;
-        ForecastRecord {
+        ForecastAccuracy {
             run_times_judged: runs.judged,
             inside_interval: runs.coverage(),
             within_quarter: runs.within_quarter_share(),
--- a/src/coordination/leadership/peer_heartbeats.rs
+++ b/src/coordination/leadership/peer_heartbeats.rs
@@ -49,9 +49,9 @@
             rented: rented_page(self.rented_machines(), page),
             spare: spare_page(offers, page),
             incarnation: self.incarnation,
-            known: self.membership.known_terms(),
+            known_terms: self.membership.known_terms(),
             state_silence: self.leadership.failure_detection.state_silence(self.now),
-            peer_ages: self.membership.heartbeat_ages(self.now),
+            heartbeat_ages: self.membership.heartbeat_ages(self.now),
             message_version: MESSAGE_VERSION,
         }
     }
@@ -72,9 +72,9 @@
             rented,
             spare,
             incarnation,
-            known,
+            known_terms,
             state_silence,
-            peer_ages,
+            heartbeat_ages,
             message_version,
         } = heartbeat
         else {
@@ -85,9 +85,9 @@
             holds_lease,
             ready,
             led,
-            known_terms: known,
+            known_terms,
             state_silence,
-            heartbeat_ages: peer_ages,
+            heartbeat_ages,
             message_version,
         };
         self.record_peer_heartbeat(from, peer_status, rented, spare);
--- a/src/coordination/machine_transfer.rs
+++ b/src/coordination/machine_transfer.rs
@@ -86,7 +86,7 @@
             return true;
         }
         let Some(leader) = self.leader_of(from).cloned() else { return false };
-        self.send_to_peer(leader, PeerMessage::Take { machine: machine.clone(), shard: to });
+        self.send_to_peer(leader, PeerMessage::RequestMachine { machine: machine.clone(), shard: to });
         true
     }
 
@@ -167,7 +167,7 @@
         self.directory.set_machine_shard(machine.clone(), to);
         match self.leader_of(to).cloned() {
             Some(leader) if leader == self.settings.label => self.machine_transferred_here(machine, to),
-            Some(leader) => self.send_to_peer(leader, PeerMessage::Moved { machine, shard: to }),
+            Some(leader) => self.send_to_peer(leader, PeerMessage::MachineTransferred { machine, shard: to }),
             None => {}
         }
     }
--- a/src/coordination/rentals.rs
+++ b/src/coordination/rentals.rs
@@ -6,7 +6,7 @@
 use super::shard::{BootingMachine, Rental};
 use crate::model::{MachineId, ShardId};
 use crate::protocol::CallError;
-use crate::protocol::cloud::{CloudAnswer, CloudCall, MAX_RENTED};
+use crate::protocol::cloud::{CloudAnswer, CloudCall, MAX_MACHINES_PER_RENTAL};
 
 impl Controller {
     /// Adds a rental to the shard's requests.
@@ -18,10 +18,10 @@
         let class = rental.class();
         let mut unsent = shard.fleet.rentals.values_mut().filter(|other| other.is_unsent());
         if let Some(other) = unsent.find(|other| other.is_of(&class)) {
-            other.count = (other.count + rental.count).min(MAX_RENTED);
+            other.count = (other.count + rental.count).min(MAX_MACHINES_PER_RENTAL);
             return;
         }
-        rental.count = rental.count.min(MAX_RENTED);
+        rental.count = rental.count.min(MAX_MACHINES_PER_RENTAL);
         self.counter += 1;
         // The name is unique for ever: no other leadership term has this revision, and no other request of this node
         // has this counter value.
--- a/src/coordination/replica.rs
+++ b/src/coordination/replica.rs
@@ -11,7 +11,7 @@
 use crate::config::Settings;
 use crate::model::{MachineId, Revision, ShardId};
 use crate::protocol::state::StateResult;
-use crate::protocol::state::{Entry, LogEntry, StateAnswer, StateCall};
+use crate::protocol::state::{Entry, StateAnswer, StateCall, WatchedChange};
 use crate::storage::keys;
 use crate::storage::records::{LiveRecord, MachineRecord};
 use crate::time::{Span, Time};
@@ -185,13 +185,13 @@
     Some((entry.key, entry.version, record))
 }
 
-fn parse_change<R: DeserializeOwned>(change: LogEntry) -> Option<WatchChange<R>> {
+fn parse_change<R: DeserializeOwned>(change: WatchedChange) -> Option<WatchChange<R>> {
     match change {
-        LogEntry::Set { key, value, version } => {
+        WatchedChange::Set { key, value, version } => {
             let record = parse_record(&key, value)?;
             Some(WatchChange::Set(key, version, record))
         }
-        LogEntry::Delete { key, version } => Some(WatchChange::Delete(key, version)),
+        WatchedChange::Delete { key, version } => Some(WatchChange::Delete(key, version)),
     }
 }
 
--- a/src/coordination/scale_in/deletion.rs
+++ b/src/coordination/scale_in/deletion.rs
@@ -5,7 +5,7 @@
 use crate::coordination::leadership_term::LeadershipTerm;
 use crate::model::{MachineId, ShardId};
 use crate::protocol::CallError;
-use crate::protocol::cloud::{CloudAnswer, CloudCall, MAX_DELETED};
+use crate::protocol::cloud::{CloudAnswer, CloudCall, MAX_MACHINES_PER_DELETION};
 use crate::time::{Span, Time};
 use std::collections::HashSet;
 
@@ -51,7 +51,7 @@
         }
         let running = shard.machines.iter().filter(|(_, machine)| machine.deleting).map(|(id, _)| id);
         let booting = shard.fleet.booting.iter().filter(|(_, machine)| machine.deleting).map(|(id, _)| id);
-        let machines: Vec<MachineId> = running.chain(booting).take(MAX_DELETED).cloned().collect();
+        let machines: Vec<MachineId> = running.chain(booting).take(MAX_MACHINES_PER_DELETION).cloned().collect();
         if machines.is_empty() || !self.cloud.take_call(now) {
             return;
         }
--- a/src/coordination/scale_in/listed_machines.rs
+++ b/src/coordination/scale_in/listed_machines.rs
@@ -6,7 +6,7 @@
 use super::super::shard::BootingMachine;
 use super::super::shard::Shard;
 use crate::model::{MachineId, ShardId};
-use crate::protocol::cloud::{CloudCall, ListedMachine, MAX_DELETED, MachineState};
+use crate::protocol::cloud::{CloudCall, ListedMachine, MAX_MACHINES_PER_DELETION, MachineState};
 use crate::time::Span;
 use crowstall_reconciliation::MachineClass;
 
@@ -121,7 +121,7 @@
                 && active.contains(&self.default_shard(&entry.id))
                 && self.will_not_boot(entry)
         });
-        let machines: Vec<MachineId> = unknown.map(|entry| entry.id.clone()).take(MAX_DELETED).collect();
+        let machines: Vec<MachineId> = unknown.map(|entry| entry.id.clone()).take(MAX_MACHINES_PER_DELETION).collect();
         if !machines.is_empty() && self.cloud.take_call(self.now) {
             log::info!("deleting {} machines that belong to no shard", machines.len());
             self.cloud.unknown_deletion_sent();
--- a/src/coordination/worker_heartbeats/mod.rs
+++ b/src/coordination/worker_heartbeats/mod.rs
@@ -119,7 +119,7 @@
             return;
         }
         for EarlyHeartbeat { requester, .. } in std::mem::take(&mut shard.loading.early_heartbeats) {
-            self.reply(requester, Reply::busy(BusyReason::BeingLoaded));
+            self.reply(requester, Reply::busy(BusyReason::ShardBeingLoaded));
         }
     }
 
--- a/src/coordination/worker_heartbeats/serving.rs
+++ b/src/coordination/worker_heartbeats/serving.rs
@@ -99,7 +99,7 @@
 /// answered with 200, it would stay with this node while its lease expires.
 fn refusal(machine: &Machine, heartbeat: &WorkerHeartbeat, may_renew_worker_leases: bool) -> Option<Reply> {
     if machine.deleting {
-        return Some(Reply::busy(BusyReason::BeingReturned));
+        return Some(Reply::busy(BusyReason::MachineBeingDeleted));
     }
     (shows_newer_leader(machine, heartbeat) || !may_renew_worker_leases).then(|| workers::redirect(None))
 }
--- a/src/protocol/busy_reason.rs
+++ b/src/protocol/busy_reason.rs
@@ -12,9 +12,9 @@
     /// The record of a prerequisite, direct or indirect, of a polled job is missing, unreadable or could not be read.
     PrerequisiteUnreadable,
     /// The machine is being deleted at the cloud.
-    BeingReturned,
+    MachineBeingDeleted,
     /// The new leader is still loading the shard from the records.
-    BeingLoaded,
+    ShardBeingLoaded,
     /// The machine is being registered, or this node does not lead the machine's shard.
     BeingRecorded,
     /// The rate limit does not admit the read of a machine's record now.
@@ -79,8 +79,8 @@
             BusyReason::RecordUnreadable => "its record can't be read",
             BusyReason::AnyRecordUnreadable => "a record can't be read",
             BusyReason::PrerequisiteUnreadable => "the record of a job that it needs can't be read",
-            BusyReason::BeingReturned => "being given back",
-            BusyReason::BeingLoaded => "being loaded",
+            BusyReason::MachineBeingDeleted => "being given back",
+            BusyReason::ShardBeingLoaded => "being loaded",
             BusyReason::BeingRecorded => "being recorded",
             BusyReason::TooManyMachineReads => "busy",
             BusyReason::LeadershipLost => "changing hands",
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -9,10 +9,10 @@
 const PAGE_SIZE: usize = 500;
 
 /// Maximum number of machines in one deletion request.
-pub const MAX_DELETED: usize = 100;
+pub const MAX_MACHINES_PER_DELETION: usize = 100;
 
 /// Maximum number of machines in one rental request.
-pub const MAX_RENTED: u32 = 50;
+pub const MAX_MACHINES_PER_RENTAL: u32 = 50;
 
 /// Lower bound of the image fetch rate of a machine type in GB per second. Lower rates in the catalog are raised to it,
 /// as fetch times are computed by division.
@@ -36,10 +36,10 @@
         zone: Name,
         /// `true` to rent spot machines.
         spot: bool,
-        /// Number of machines to rent, at most [`MAX_RENTED`].
+        /// Number of machines to rent, at most [`MAX_MACHINES_PER_RENTAL`].
         count: u32,
     },
-    /// Deletes machines, at most [`MAX_DELETED`].
+    /// Deletes machines, at most [`MAX_MACHINES_PER_DELETION`].
     Delete(Vec<MachineId>),
     /// Reads a page of the list of rented machines.
     List {
--- a/src/protocol/peers.rs
+++ b/src/protocol/peers.rs
@@ -50,14 +50,14 @@
         #[serde(rename = "life", default)]
         incarnation: u64,
         /// Newest leadership term of each shard that the sender knows.
-        #[serde(default)]
-        known: Vec<(ShardId, Revision)>,
+        #[serde(rename = "known", default)]
+        known_terms: Vec<(ShardId, Revision)>,
         /// Time for which the state service has not answered the sender.
         #[serde(rename = "state_quiet", default)]
         state_silence: Span,
         /// Time since the sender last received a heartbeat from each of the other controllers.
         #[serde(rename = "hears", default)]
-        peer_ages: Vec<(NodeLabel, Span)>,
+        heartbeat_ages: Vec<(NodeLabel, Span)>,
         /// [`MESSAGE_VERSION`] of the sender; 0 from a version that does not send it.
         #[serde(rename = "speaks", default)]
         message_version: u32,
@@ -86,14 +86,16 @@
         shard: ShardId,
     },
     /// The sender requests a machine that the receiver has offered.
-    Take {
+    #[serde(rename = "Take")]
+    RequestMachine {
         /// Id of the machine.
         machine: MachineId,
         /// Shard of the sender for which the machine is requested.
         shard: ShardId,
     },
     /// A machine was transferred to a shard of the receiver.
-    Moved {
+    #[serde(rename = "Moved")]
+    MachineTransferred {
         /// Id of the machine.
         machine: MachineId,
         /// Shard to which the machine belongs now.
--- a/src/protocol/state/mod.rs
+++ b/src/protocol/state/mod.rs
@@ -83,7 +83,7 @@
 
 /// A change in the answer to a watch.
 #[derive(Clone, Debug, PartialEq)]
-pub enum LogEntry {
+pub enum WatchedChange {
     /// A key was written.
     Set {
         /// Key of the record.
@@ -124,7 +124,7 @@
     /// All changes after the requested revision, up to `revision`.
     Changes {
         /// Changes, oldest first.
-        log: Vec<LogEntry>,
+        log: Vec<WatchedChange>,
         /// Revision of the store.
         revision: Revision,
     },
@@ -142,18 +142,18 @@
     LeaseExpired,
 }
 
-impl LogEntry {
+impl WatchedChange {
     /// Returns the key that was written or deleted.
     pub fn key(&self) -> &str {
         match self {
-            LogEntry::Set { key, .. } | LogEntry::Delete { key, .. } => key,
+            WatchedChange::Set { key, .. } | WatchedChange::Delete { key, .. } => key,
         }
     }
 
     /// Returns the revision of the change.
     pub fn version(&self) -> Revision {
         match self {
-            LogEntry::Set { version, .. } | LogEntry::Delete { version, .. } => *version,
+            WatchedChange::Set { version, .. } | WatchedChange::Delete { version, .. } => *version,
         }
     }
 }
--- a/src/protocol/state/wire.rs
+++ b/src/protocol/state/wire.rs
@@ -3,7 +3,7 @@
 //! The fields of request bodies are declared in the alphabetical order of their serialized names, in which all versions
 //! write them.
 
-use super::{Change, Condition, Entry, LogEntry, StateAnswer};
+use super::{Change, Condition, Entry, StateAnswer, WatchedChange};
 use crate::model::{LeaseId, Revision};
 use crate::protocol::CallError;
 use serde::{Deserialize, Serialize};
@@ -41,7 +41,7 @@
 
 /// A change in the answer to a watch: `set` with `data`, or `delete`.
 #[derive(Deserialize)]
-struct WireLogEntry {
+struct WireWatchedChange {
     /// Key, if the change is a write.
     set: Option<String>,
     /// Key, if the change is a deletion.
@@ -62,7 +62,7 @@
     revision: u64,
     /// Changes, oldest first.
     #[serde(default)]
-    log: Vec<WireLogEntry>,
+    log: Vec<WireWatchedChange>,
 }
 
 /// Body of the answer to a transaction that was applied.
@@ -185,19 +185,20 @@
     type Error = CallError;
 
     fn try_from(wire: WireChanges) -> Result<StateAnswer, CallError> {
-        let log = wire.log.into_iter().map(LogEntry::try_from).collect::<Result<Vec<LogEntry>, CallError>>()?;
+        let log =
+            wire.log.into_iter().map(WatchedChange::try_from).collect::<Result<Vec<WatchedChange>, CallError>>()?;
         Ok(StateAnswer::Changes { log, revision: Revision(wire.revision) })
     }
 }
 
-impl TryFrom<WireLogEntry> for LogEntry {
+impl TryFrom<WireWatchedChange> for WatchedChange {
     type Error = CallError;
 
-    fn try_from(wire: WireLogEntry) -> Result<LogEntry, CallError> {
+    fn try_from(wire: WireWatchedChange) -> Result<WatchedChange, CallError> {
         let version = Revision(wire.version);
         match (wire.set, wire.delete) {
-            (Some(key), None) => Ok(LogEntry::Set { key, value: wire.value, version }),
-            (None, Some(key)) => Ok(LogEntry::Delete { key, version }),
+            (Some(key), None) => Ok(WatchedChange::Set { key, value: wire.value, version }),
+            (None, Some(key)) => Ok(WatchedChange::Delete { key, version }),
             // A change of an unknown kind is an error: if it was skipped, the replica would differ from the store
             // without notice.
             _ => Err(CallError::Unexpected(200)),
--- a/src/protocol/users/mod.rs
+++ b/src/protocol/users/mod.rs
@@ -6,7 +6,7 @@
 mod views;
 
 pub use submission::{InvalidJob, InvalidReason};
-pub use views::{ForecastRecord, ForecastView, Interval, JobState, JobView, PromiseView, TaskForecast};
+pub use views::{ForecastAccuracy, ForecastView, Interval, JobState, JobView, PromiseView, TaskForecast};
 
 use super::Reply;
 use super::workers::{self, WorkerHeartbeat};
--- a/src/protocol/users/views.rs
+++ b/src/protocol/users/views.rs
@@ -87,7 +87,7 @@
     /// Promised time of completion, if there is one.
     pub promise: Option<PromiseView>,
     /// Accuracy of earlier forecasts.
-    pub record: ForecastRecord,
+    pub record: ForecastAccuracy,
 }
 
 /// Forecast of a time in seconds: one outcome in ten is expected below `low_s`, and one in ten above `high_s`.
@@ -128,7 +128,7 @@
 
 /// Accuracy of earlier forecasts. A fraction is null until there is an outcome to compare.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ForecastRecord {
+pub struct ForecastAccuracy {
     /// Number of run time forecasts that were compared with the actual run time.
     pub run_times_judged: u64,
     /// Fraction of run times inside the forecast interval.
--- a/tests/compatibility/samples.rs
+++ b/tests/compatibility/samples.rs
@@ -6,7 +6,7 @@
 use crowstall::protocol::peers::{ForwardedRequest, MachineOffer, PeerMessage};
 use crowstall::protocol::state::{Change, Condition, StateCall};
 use crowstall::protocol::users::{
-    ForecastRecord, ForecastView, Interval, JobState, JobView, PromiseView, TaskForecast,
+    ForecastAccuracy, ForecastView, Interval, JobState, JobView, PromiseView, TaskForecast,
 };
 use crowstall::protocol::workers::{Command, Exit, TaskState, TaskStatus, WorkerCall, WorkerHeartbeat};
 use crowstall::protocol::workers::{accepted, redirect};
@@ -191,9 +191,9 @@
             spot: false,
         }],
         incarnation: 5_693_141_926_459_386_523,
-        known: vec![(ShardId(0), Revision(27)), (ShardId(1), Revision(41))],
+        known_terms: vec![(ShardId(0), Revision(27)), (ShardId(1), Revision(41))],
         state_silence: Span::millis(198),
-        peer_ages: vec![
+        heartbeat_ages: vec![
             (NodeLabel::new("perch-0"), Span::millis(326)),
             (NodeLabel::new("perch-2"), Span::millis(8188)),
         ],
@@ -218,8 +218,8 @@
     let busy = Reply { busy_reason: None, ..Reply::busy(BusyReason::NotLeader) };
     visitor.message("Answer.busy", PeerMessage::Answer { number: 73, reply: busy });
     visitor.message("Released", PeerMessage::Released { shard: ShardId(1) });
-    visitor.message("Take", PeerMessage::Take { machine: machine.clone(), shard: ShardId(1) });
-    visitor.message("Moved", PeerMessage::Moved { machine, shard: ShardId(0) });
+    visitor.message("Take", PeerMessage::RequestMachine { machine: machine.clone(), shard: ShardId(1) });
+    visitor.message("Moved", PeerMessage::MachineTransferred { machine, shard: ShardId(0) });
 }
 
 /// Returns a job view with the fields that the version in production sends.
@@ -246,7 +246,7 @@
         task: Some(TaskForecast { run: interval, observations: 40, level: Level::ClassAndSize }),
         finish: Some(interval),
         promise: Some(PromiseView { by_s: -3.5, by_ms: 1_700_000_002_001, made_s: 60.0, revisions: 1 }),
-        record: ForecastRecord {
+        record: ForecastAccuracy {
             run_times_judged: 100,
             inside_interval: Some(0.81),
             within_quarter: Some(0.5),
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -44,9 +44,9 @@
         rented,
         spare,
         incarnation: u64::MAX,
-        known: shards,
+        known_terms: shards,
         state_silence: Span::ZERO,
-        peer_ages: Vec::new(),
+        heartbeat_ages: Vec::new(),
         message_version: peers::MESSAGE_VERSION,
     };
     Envelope { from: NodeLabel::new("perch-0"), message }
--- a/tests/protocol.rs
+++ b/tests/protocol.rs
@@ -5,7 +5,7 @@
 use crowstall::protocol::CallError;
 use crowstall::protocol::cloud::{CloudAnswer, CloudCall};
 use crowstall::protocol::peers;
-use crowstall::protocol::state::{Change, LogEntry, StateAnswer, StateCall};
+use crowstall::protocol::state::{Change, StateAnswer, StateCall, WatchedChange};
 use crowstall::protocol::users::{ClientRequest, parse};
 use crowstall::protocol::workers::{Exit, TaskState};
 use crowstall::storage::range_set::RangeSet;
@@ -197,11 +197,11 @@
     let watch = StateCall::Watch { prefix: "live/", after: Revision(431) };
     assert_eq!(watch.request().path, "/watch?prefix=live/&after=431&wait_ms=0");
     let log = br#"{"tally":433,"log":[{"set":"live/a","data":{"x":1},"molt":433},{"delete":"live/b","molt":432}]}"#;
-    let set = LogEntry::Set { key: "live/a".into(), value: serde_json::json!({ "x": 1 }), version: Revision(433) };
-    let delete = LogEntry::Delete { key: "live/b".into(), version: Revision(432) };
+    let set = WatchedChange::Set { key: "live/a".into(), value: serde_json::json!({ "x": 1 }), version: Revision(433) };
+    let delete = WatchedChange::Delete { key: "live/b".into(), version: Revision(432) };
     assert_eq!(watch.answer(200, log), Ok(StateAnswer::Changes { log: vec![set, delete], revision: Revision(433) }));
     assert_eq!(watch.answer(410, b""), Ok(StateAnswer::Compacted));
-    // A log entry of an unknown kind is an error: skipping it would lose a change.
+    // A change of an unknown kind is an error: skipping it would lose a change.
     assert_eq!(watch.answer(200, br#"{"tally":1,"log":[{"odd":"a","molt":1}]}"#), Err(CallError::Unexpected(200)));
 }
 
--- a/tests/simulation/state_service.rs
+++ b/tests/simulation/state_service.rs
@@ -3,7 +3,7 @@
 use super::{CONTROLLERS, DisabledSafeguard, MS, MaxDelay, Probability, SEC, TemporaryFault};
 use crowstall::model::*;
 use crowstall::protocol::CallError;
-use crowstall::protocol::state::{Change, Condition, Entry, LogEntry, StateAnswer, StateCall};
+use crowstall::protocol::state::{Change, Condition, Entry, StateAnswer, StateCall, WatchedChange};
 use crowstall::storage::rate_limiter::RateLimiter;
 use crowstall::time::Time;
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -80,7 +80,7 @@
     leases: HashMap<u64, Lease>,
     last_lease: u64,
     /// The newest changes, oldest first.
-    log: VecDeque<LogEntry>,
+    log: VecDeque<WatchedChange>,
     /// The revision of the newest change that is not in the log any more.
     compacted_until: u64,
     /// Records of live jobs that were removed lately, for `DisabledSafeguard::ConsistentReads`.
@@ -185,7 +185,7 @@
             for key in bound.map(|entry| entry.key.clone()).collect::<Vec<_>>() {
                 self.keys.remove(&key);
                 self.revision += 1;
-                self.append_to_log(LogEntry::Delete { key, version: Revision(self.revision) });
+                self.append_to_log(WatchedChange::Delete { key, version: Revision(self.revision) });
             }
         }
     }
@@ -324,10 +324,10 @@
             WatchBehaviour::Lags => after.0 + u64::from((now / SEC).is_multiple_of(10)),
             _ => self.revision,
         };
-        let is_delivered = |change: &&LogEntry| {
+        let is_delivered = |change: &&WatchedChange| {
             change.key().starts_with(prefix) && change.version() > after && change.version().0 <= until
         };
-        let log: Vec<LogEntry> = self.log.iter().filter(is_delivered).cloned().collect();
+        let log: Vec<WatchedChange> = self.log.iter().filter(is_delivered).cloned().collect();
         self.changes_delivered += log.len() as u64;
         StateAnswer::Changes { log, revision: Revision(until) }
     }
@@ -384,7 +384,7 @@
                 self.set(key.clone(), value, *lease);
             }
             Change::Delete(key) => {
-                self.append_to_log(LogEntry::Delete { key: key.clone(), version: Revision(self.revision) });
+                self.append_to_log(WatchedChange::Delete { key: key.clone(), version: Revision(self.revision) });
                 let removed = self.keys.remove(key);
                 if let Some(entry) = removed.filter(|_| disabled == DisabledSafeguard::ConsistentReads) {
                     self.recently_removed.insert(key.clone(), RemovedEntry { removed_at: now, entry });
@@ -396,11 +396,11 @@
     /// Sets a key at the current revision.
     fn set(&mut self, key: String, value: serde_json::Value, lease: Option<LeaseId>) {
         let version = Revision(self.revision);
-        self.append_to_log(LogEntry::Set { key: key.clone(), value: value.clone(), version });
+        self.append_to_log(WatchedChange::Set { key: key.clone(), value: value.clone(), version });
         self.keys.insert(key.clone(), Entry { key, value, version, lease });
     }
 
-    fn append_to_log(&mut self, change: LogEntry) {
+    fn append_to_log(&mut self, change: WatchedChange) {
         self.log.push_back(change);
         let max_length = match self.watch_behaviour {
             WatchBehaviour::CompactsSoon => SHORT_LOG_LENGTH,
--- a/tests/soak/wire.rs
+++ b/tests/soak/wire.rs
@@ -5,7 +5,7 @@
 use crowstall::model::*;
 use crowstall::protocol::CallError;
 use crowstall::protocol::cloud::{CloudAnswer, CloudCall, ListedMachine, MachineState};
-use crowstall::protocol::state::{Change, Condition, Entry, LogEntry, StateAnswer, StateCall};
+use crowstall::protocol::state::{Change, Condition, Entry, StateAnswer, StateCall, WatchedChange};
 use crowstall::protocol::users::ClientRequest;
 use crowstall::protocol::workers::{Command, Exit, TaskState, TaskStatus, WorkerAnswer, WorkerCall, WorkerHeartbeat};
 use serde_json::{Value, json};
@@ -142,10 +142,10 @@
     json!({"k": entry.key, "data": entry.value, "molt": entry.version.0, "tenure": entry.lease.map(|lease| lease.0)})
 }
 
-fn log_body(entry: &LogEntry) -> Value {
+fn log_body(entry: &WatchedChange) -> Value {
     match entry {
-        LogEntry::Set { key, value, version } => json!({"set": key, "data": value, "molt": version.0}),
-        LogEntry::Delete { key, version } => json!({"delete": key, "molt": version.0}),
+        WatchedChange::Set { key, value, version } => json!({"set": key, "data": value, "molt": version.0}),
+        WatchedChange::Delete { key, version } => json!({"delete": key, "molt": version.0}),
     }
 }
 
