--- a/src/config/properties.rs
+++ b/src/config/properties.rs
@@ -87,13 +87,13 @@
     pub enabled: bool,
     /// `true` if the queue and the fleet use the learned run times; if `false`, only users see the forecasts.
     #[serde(rename = "forecast.plans", deserialize_with = "boolean")]
-    pub plans: bool,
+    pub used_for_planning: bool,
     /// Minimum interval between two saved snapshots of the learned run times.
     #[serde(rename = "forecast.snapshot.ms", deserialize_with = "milliseconds::<5000, 3_600_000, _>")]
-    pub snapshot: Span,
+    pub snapshot_interval: Span,
     /// Maximum memory for the learned run times, in bytes.
     #[serde(rename = "forecast.memory.kib", deserialize_with = "kibibytes::<16, 16_384, _>")]
-    pub memory: usize,
+    pub max_memory_bytes: usize,
     /// Time after which the weight of a sample has halved.
     #[serde(rename = "forecast.half-life.s", deserialize_with = "seconds::<60, 31_536_000, _>")]
     pub half_life: Span,
@@ -106,9 +106,9 @@
     fn default() -> ForecastProperties {
         ForecastProperties {
             enabled: false,
-            plans: false,
-            snapshot: Span::millis(30_000),
-            memory: 64 * 1024,
+            used_for_planning: false,
+            snapshot_interval: Span::millis(30_000),
+            max_memory_bytes: 64 * 1024,
             half_life: Span::millis(7_200_000),
             forget: Vec::new(),
         }
@@ -129,15 +129,15 @@
     pub piecewise: bool,
     /// Maximum number of machines queried for their tasks at the same time.
     #[serde(rename = "recovery.asks", deserialize_with = "count::<1, 1000, _>")]
-    pub asks: usize,
+    pub max_queries: usize,
     /// `true` if tasks are started without a leader lease for as long as worker leases are renewed.
     #[serde(rename = "recovery.hold-on", deserialize_with = "boolean")]
-    pub hold_on: bool,
+    pub start_without_lease: bool,
 }
 
 impl Default for RecoveryProperties {
     fn default() -> RecoveryProperties {
-        RecoveryProperties { reacquire_own: false, piecewise: false, asks: 64, hold_on: false }
+        RecoveryProperties { reacquire_own: false, piecewise: false, max_queries: 64, start_without_lease: false }
     }
 }
 
@@ -204,7 +204,7 @@
     }
 
     fn check_contradictions(&self) -> Result<(), ConfigError> {
-        if self.forecast.plans && !self.forecast.enabled {
+        if self.forecast.used_for_planning && !self.forecast.enabled {
             let conflict = "needs forecast.enabled = true";
             return Err(ConfigError::Contradiction { key: "forecast.plans", conflict });
         }
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -39,13 +39,13 @@
     /// Zone of this controller.
     pub zone: Name,
     /// Address at which this controller listens for users and workers.
-    pub front: SocketAddrV4,
+    pub client_addr: SocketAddrV4,
     /// Address at which this controller listens for its peers.
     pub peer_bind: SocketAddrV4,
     /// Labels of all controllers, this one included, in ascending order.
     pub nodes: Vec<NodeLabel>,
     /// Index of this controller in `nodes`.
-    pub me: NodeIndex,
+    pub own_index: NodeIndex,
     /// Zone of each controller.
     pub node_zones: BTreeMap<NodeLabel, Name>,
     /// Labels and peer addresses of the other controllers.
@@ -72,21 +72,21 @@
     /// Rate limit of the state service in requests per second; the stricter of the current and the announced limit.
     pub state_rps: f64,
     /// Rate limit of the state service in writes per second; the stricter of the current and the announced limit.
-    pub state_writes: f64,
+    pub state_write_rps: f64,
     /// Current rate limit of the state service in writes per second, before the announced limit comes into force.
-    pub state_writes_now: f64,
+    pub current_state_write_rps: f64,
     /// Maximum size of a value at the state service, in bytes.
-    pub value_bytes: usize,
+    pub max_value_bytes: usize,
     /// Maximum number of changes in a transaction of the state service.
-    pub txn_ops: usize,
+    pub max_txn_changes: usize,
     /// Rate limit of the cloud service in requests per second.
     pub cloud_rps: f64,
     /// Maximum time by which the cloud's list of machines lags behind.
-    pub list_lag: Span,
+    pub cloud_list_lag: Span,
     /// Maximum number of sockets that this process may have open.
     pub max_sockets: usize,
     /// Digest of the quotas of all teams; equal at two controllers if and only if their quotas are the same.
-    pub limits_digest: String,
+    pub quotas_digest: String,
     /// Factor by job class, at least 1, by which the time to the deadline of a job is multiplied to get the time until
     /// which its result is still of use. Classes without such an objective have no entry.
     pub late_factors: Arc<BTreeMap<Name, f64>>,
--- a/src/config/validation.rs
+++ b/src/config/validation.rs
@@ -37,16 +37,16 @@
         Ok(Settings {
             label: NodeLabel::new(&self.label),
             zone: Name::new(&self.area),
-            front: self.front,
+            client_addr: self.front,
             peer_bind: self.peer_bind,
             nodes: cluster.nodes,
-            me: cluster.me,
+            own_index: cluster.own_index,
             node_zones: cluster.zones,
             peers: cluster.peers,
             cloud_addr: self.services.cloud,
             state_addr: self.services.state,
             shards: facts.size,
-            limits_digest: digest_of_quotas(&teams),
+            quotas_digest: digest_of_quotas(&teams),
             teams,
             finish_within: objectives.finish_within,
             start_within: objectives.start_within,
@@ -55,12 +55,12 @@
             worker_lease: cancellation.worker_lease,
             cancellation,
             state_rps: state.rps,
-            state_writes: state.write_rps,
-            state_writes_now: facts.state.write_rps,
-            value_bytes: (state.value_kb * BYTES_PER_KB) as usize,
-            txn_ops: state.txn_ops as usize,
+            state_write_rps: state.write_rps,
+            current_state_write_rps: facts.state.write_rps,
+            max_value_bytes: (state.value_kb * BYTES_PER_KB) as usize,
+            max_txn_changes: state.txn_ops as usize,
             cloud_rps: facts.cloud.rps,
-            list_lag: Span::secs(facts.cloud.list_lag_s),
+            cloud_list_lag: Span::secs(facts.cloud.list_lag_s),
             max_sockets: facts.machine_limits.max_sockets as usize,
             properties,
         })
@@ -71,7 +71,7 @@
 struct Cluster {
     /// Labels of all controllers in ascending order.
     nodes: Vec<NodeLabel>,
-    me: NodeIndex,
+    own_index: NodeIndex,
     zones: BTreeMap<NodeLabel, Name>,
     peers: Vec<(NodeLabel, SocketAddrV4)>,
 }
@@ -89,7 +89,7 @@
         let nodes: Vec<NodeLabel> = zones.keys().cloned().collect();
         let position = nodes.iter().position(|node| *node == label).unwrap_or(0);
         let peers = file.peers.iter().map(|peer| (NodeLabel::new(&peer.label), peer.peer_addr));
-        Ok(Cluster { me: NodeIndex(position as u32), peers: peers.collect(), nodes, zones })
+        Ok(Cluster { own_index: NodeIndex(position as u32), peers: peers.collect(), nodes, zones })
     }
 }
 
--- a/src/coordination/controller.rs
+++ b/src/coordination/controller.rs
@@ -320,7 +320,7 @@
     /// is confirmed.
     fn state_answered(&mut self, pending: PendingStateCall, answer: StateResult) {
         let limit_exceeded = matches!(answer, Err(CallError::Refused { over_limit: true }));
-        if limit_exceeded && self.calls.record_limit_exceeded(self.now, self.settings.state_writes) {
+        if limit_exceeded && self.calls.record_limit_exceeded(self.now, self.settings.state_write_rps) {
             self.update_rate_limit_shares();
         }
         if answer.is_ok() || limit_exceeded {
--- a/src/coordination/dependencies/prerequisite_parts.rs
+++ b/src/coordination/dependencies/prerequisite_parts.rs
@@ -49,7 +49,7 @@
         if !new_job.has_unwritten_parts() {
             return self.commit_acceptance(new_job);
         }
-        let changes = new_job.take_part_changes(self.settings.txn_ops);
+        let changes = new_job.take_part_changes(self.settings.max_txn_changes);
         let conditions = vec![Condition::absent(keys::live_key(new_job.id()))];
         let request = StateCall::Commit { conditions, changes };
         self.call_state(request, DependencyOperation::WriteParts(Box::new(new_job)));
--- a/src/coordination/forecasts.rs
+++ b/src/coordination/forecasts.rs
@@ -52,7 +52,7 @@
         if self.stores.get(&shard.id).is_some_and(|store| store.term == shard.term) {
             return;
         }
-        let limits = Limits { memory: self.properties.memory, half_life: self.properties.half_life };
+        let limits = Limits { memory: self.properties.max_memory_bytes, half_life: self.properties.half_life };
         self.stores.insert(shard.id, ForecastStore::new(shard.term, limits, now));
     }
 }
--- a/src/coordination/forecasts/snapshots.rs
+++ b/src/coordination/forecasts/snapshots.rs
@@ -186,9 +186,9 @@
     fn save_snapshot(&mut self, leadership: LeadershipTerm, version: Revision, now: Time) {
         let id = leadership.shard;
         let Some(forecasts) = &mut self.forecasts else { return };
-        let interval = forecasts.properties.snapshot;
+        let interval = forecasts.properties.snapshot_interval;
         let Some(store) = forecasts.store_in_term(leadership) else { return };
-        let max_bytes = self.settings.value_bytes.saturating_sub(RECORD_OVERHEAD);
+        let max_bytes = self.settings.max_value_bytes.saturating_sub(RECORD_OVERHEAD);
         let Some(text) = snapshot::write(&store.learner, now, max_bytes) else {
             // Even the coarsest snapshot exceeds the limit, so none can be saved with these settings.
             store.snapshot.next_call_at = now + MAX_RETRY_BACKOFF;
--- a/src/coordination/forecasts/store.rs
+++ b/src/coordination/forecasts/store.rs
@@ -138,7 +138,7 @@
             round.ahead_cpu_s += work_cpu_s;
             let mean = forecast.run.mean;
             self.forecasts.insert(id.clone(), forecast);
-            if context.settings.properties.forecast.plans
+            if context.settings.properties.forecast.used_for_planning
                 && let Some(job) = shard.jobs.get_mut(&id)
             {
                 job.runtimes.learned_run_time = Some(mean);
--- a/src/coordination/job_persistence/progress.rs
+++ b/src/coordination/job_persistence/progress.rs
@@ -32,13 +32,13 @@
     }
 }
 
-/// Returns the completed tasks that the record of a job can name: those whose ranges fit into `value_bytes` together
-/// with `base_bytes` other bytes. No completion is lost if a task is left out, since the workers keep reporting
-/// completed tasks until these are recorded.
-fn recorded_tasks(job: &Job, base_bytes: usize, value_bytes: usize) -> RangeSet {
+/// Returns the completed tasks that the record of a job can name: those whose ranges fit into `max_value_bytes`
+/// together with `base_bytes` other bytes. No completion is lost if a task is left out, since the workers keep
+/// reporting completed tasks until these are recorded.
+fn recorded_tasks(job: &Job, base_bytes: usize, max_value_bytes: usize) -> RangeSet {
     match job.record.size {
         RecordSize::Fits => {
-            job.progress.done.truncated_to_bytes(value_bytes.saturating_sub(base_bytes + RECORD_SIZE_MARGIN))
+            job.progress.done.truncated_to_bytes(max_value_bytes.saturating_sub(base_bytes + RECORD_SIZE_MARGIN))
         }
         RecordSize::TooLargeWithRanges | RecordSize::TooLarge => RangeSet::new(),
     }
@@ -55,22 +55,22 @@
     }
 
     fn write_progress(&mut self, shard_id: ShardId, id: &JobId) {
-        let (now, value_bytes) = (self.now, self.settings.value_bytes);
+        let (now, max_value_bytes) = (self.now, self.settings.max_value_bytes);
         let Some(shard) = self.shards.get_mut(&shard_id) else { return };
         let leadership = shard.leadership_term();
         let Some(job) = shard.jobs.get_mut(id) else { return };
         let mut record = live_record(shard_id, job);
         let base_bytes = to_value(&record).to_string().len();
-        if base_bytes > value_bytes {
+        if base_bytes > max_value_bytes {
             // The record was written when the state service accepted larger values, and can't be rewritten now.
             log::error!(
                 "job {id}: record has {base_bytes} bytes without its completed tasks, more than the limit of \
-                 {value_bytes} bytes; no longer writing its progress"
+                 {max_value_bytes} bytes; no longer writing its progress"
             );
             job.record.size = RecordSize::TooLarge;
             return;
         }
-        let done = recorded_tasks(job, base_bytes, value_bytes);
+        let done = recorded_tasks(job, base_bytes, max_value_bytes);
         record.done = done.to_string();
         job.record.call_sent(now);
         let progress = RecordedProgress {
--- a/src/coordination/leadership/acquisition.rs
+++ b/src/coordination/leadership/acquisition.rs
@@ -78,7 +78,7 @@
         let overlap = inherited_bounds(fenced, previous)
             .map(|bounds| InheritedOverlap { bounds, deposed: fenced.map(|fenced| fenced.leader.clone()) });
         AcquisitionContext {
-            same_quotas: previous.quotas_digest.as_ref() == Some(&self.settings.limits_digest),
+            same_quotas: previous.quotas_digest.as_ref() == Some(&self.settings.quotas_digest),
             reacquired: matches!(reason, AcquisitionReason::OwnFormerIncarnation),
             overlap,
         }
@@ -96,7 +96,7 @@
         let leader_record = ShardRecord {
             node: self.settings.label.clone(),
             incarnation: self.incarnation,
-            client_addr: Some(self.settings.front),
+            client_addr: Some(self.settings.client_addr),
             bounds: self.leadership.bounds,
         };
         let previous_term_record = PreviousTermRecord {
--- a/src/coordination/leadership/leader_poll.rs
+++ b/src/coordination/leadership/leader_poll.rs
@@ -144,7 +144,7 @@
         }
         // The former process has certainly exited, because only one process can listen at an address and this one
         // does. There is no need to wait until the lease of the former process expires.
-        let same_address = record.client_addr == Some(self.settings.front);
+        let same_address = record.client_addr == Some(self.settings.client_addr);
         let may_reacquire = same_address && self.settings.properties.recovery.reacquire_own;
         may_reacquire.then_some(AcquisitionReason::OwnFormerIncarnation)
     }
@@ -196,7 +196,7 @@
     /// Returns the number of nodes that precede this one in the order of preference of a shard.
     fn preference_rank(&self, id: ShardId) -> u32 {
         let nodes = self.settings.nodes.len() as u32;
-        (self.settings.me.0 + nodes - id.0 % nodes) % nodes
+        (self.settings.own_index.0 + nodes - id.0 % nodes) % nodes
     }
 
     fn is_ready_and_reachable(&self, node: &NodeLabel) -> bool {
--- a/src/coordination/outbound_calls.rs
+++ b/src/coordination/outbound_calls.rs
@@ -61,10 +61,10 @@
             state_calls: HashMap::new(),
             cloud_calls: HashMap::new(),
             worker_calls: HashMap::new(),
-            admission: StateAdmission::new(settings.state_rps, settings.state_writes),
+            admission: StateAdmission::new(settings.state_rps, settings.state_write_rps),
             invariant_violations: 0,
             not_admitted: Vec::new(),
-            writes_per_second: settings.state_writes_now,
+            writes_per_second: settings.current_state_write_rps,
             write_usage: WriteUsage::default(),
             write_usage_logged_at: now,
         }
--- a/src/coordination/scale_in/listed_machines.rs
+++ b/src/coordination/scale_in/listed_machines.rs
@@ -41,7 +41,7 @@
     /// Marks for deletion the machines of the shard that the cloud lists as failed, and removes those that the cloud no
     /// longer lists.
     fn apply_machine_list(&mut self, id: ShardId) {
-        let (now, worker_lease, list_lag) = (self.now, self.settings.worker_lease, self.settings.list_lag);
+        let (now, worker_lease, list_lag) = (self.now, self.settings.worker_lease, self.settings.cloud_list_lag);
         let list = self.cloud.machine_list();
         let has_failed =
             |machine: &MachineId| list.get(machine).is_some_and(|entry| entry.state == MachineState::Failed);
@@ -75,7 +75,7 @@
         let now = self.now;
         let Some(acquired_at) = self.shards.get(&id).map(|shard| shard.recovery.acquired_at()) else { return };
         // The age of a machine refers to the time at which the cloud made the list, which may be this long ago.
-        let rented_until = acquired_at + self.settings.list_lag.times(MAX_LIST_LAGS);
+        let rented_until = acquired_at + self.settings.cloud_list_lag.times(MAX_LIST_LAGS);
         let is_expected = |entry: &&ListedMachine| {
             entry.state == MachineState::Booting
                 && now - entry.age <= rented_until
@@ -132,7 +132,7 @@
     /// Returns `true` if a machine has failed, or has been booting for so long that it will not come up.
     fn will_not_boot(&self, entry: &ListedMachine) -> bool {
         let boot = self.cloud.machine_type(&entry.kind).map_or(Span::ZERO, |machine_type| machine_type.boot);
-        let max_boot = boot.times(STUCK_BOOT_TIMES) + STUCK_MARGIN + self.settings.list_lag;
+        let max_boot = boot.times(STUCK_BOOT_TIMES) + STUCK_MARGIN + self.settings.cloud_list_lag;
         match entry.state {
             MachineState::Booting => entry.age > max_boot,
             MachineState::Failed => entry.age > FAILED_MACHINE_AGE,
--- a/src/coordination/shard_recovery/loading.rs
+++ b/src/coordination/shard_recovery/loading.rs
@@ -49,7 +49,7 @@
     /// Returns the previous-term record as written by the commit that acquired leadership.
     fn record_of_new_term(&self, context: &AcquisitionContext) -> PreviousTermRecord {
         PreviousTermRecord {
-            quotas_digest: context.same_quotas.then(|| self.settings.limits_digest.clone()),
+            quotas_digest: context.same_quotas.then(|| self.settings.quotas_digest.clone()),
             overlap: context.overlap_bounds(),
         }
     }
@@ -57,7 +57,7 @@
     fn new_shard(&self, leadership: LeadershipTerm, context: AcquisitionContext, sent: Time) -> Shard {
         let now = self.now;
         let properties = &self.settings.properties.recovery;
-        let recovery = Recovery::new(now, properties.asks, properties.piecewise);
+        let recovery = Recovery::new(now, properties.max_queries, properties.piecewise);
         let mut shard = Shard::new(leadership, recovery, self.settings.late_factors.clone());
         shard.leadership.leader_lease = LeaderLease::acquired(sent, self.leadership.bounds());
         shard.leadership.overlap = context.leadership_overlap(now);
--- a/src/coordination/shard_recovery/quotas.rs
+++ b/src/coordination/shard_recovery/quotas.rs
@@ -54,7 +54,7 @@
             let used = shard.team_usage(team, &self.settings, self.cloud.types());
             quota.cpus_max.is_none_or(|max| used.cpus <= max) && quota.gpus_max.is_none_or(|max| used.gpus <= max)
         });
-        are_met.then(|| self.settings.limits_digest.clone())
+        are_met.then(|| self.settings.quotas_digest.clone())
     }
 
     pub(super) fn quotas_recorded(
--- a/src/coordination/user_requests/acceptance.rs
+++ b/src/coordination/user_requests/acceptance.rs
@@ -60,7 +60,7 @@
             let retry_after = self.calls.retry_after(self.now, TrafficClass::Acceptance);
             return self.reply(requester, Reply::overloaded(BusyReason::TooManySubmissions, retry_after));
         }
-        match NewJob::new(shard, term, spec, path, self.wall_clock_ms, self.settings.value_bytes) {
+        match NewJob::new(shard, term, spec, path, self.wall_clock_ms, self.settings.max_value_bytes) {
             Ok(new_job) => {
                 self.user_requests.await_acceptance(new_job.id(), requester);
                 self.write_parts(new_job);
--- a/src/coordination/user_requests/new_job.rs
+++ b/src/coordination/user_requests/new_job.rs
@@ -53,23 +53,23 @@
 
 impl NewJob {
     /// Creates the records of a submitted job that is accepted at `accepted_ms`, a wall-clock time in milliseconds. If
-    /// the live record would exceed `value_bytes`, its prerequisites are divided among part records.
+    /// the live record would exceed `max_value_bytes`, its prerequisites are divided among part records.
     pub(super) fn new(
         shard: ShardId,
         term: Revision,
         spec: JobSpec,
         path: AcceptancePath,
         accepted_ms: u64,
-        value_bytes: usize,
+        max_value_bytes: usize,
     ) -> Result<NewJob, RecordTooLarge> {
         let mut record = new_record(shard, spec, accepted_ms);
         let mut unwritten_parts = Vec::new();
-        if !fits_value(&record, value_bytes) {
+        if !fits_value(&record, max_value_bytes) {
             let prerequisites = std::mem::take(&mut record.job.prerequisites);
-            unwritten_parts = records::parts_of(&prerequisites, value_bytes);
+            unwritten_parts = records::parts_of(&prerequisites, max_value_bytes);
             record.parts = unwritten_parts.len() as u32;
         }
-        if fits_value(&record, value_bytes) {
+        if fits_value(&record, max_value_bytes) {
             Ok(NewJob { shard, term, record, path, unwritten_parts })
         } else {
             Err(RecordTooLarge)
@@ -106,8 +106,8 @@
 }
 
 /// Returns `true` if a new job's record fits into a value, including the growth reserved for later updates.
-fn fits_value(record: &LiveRecord, value_bytes: usize) -> bool {
-    to_value(record).to_string().len() <= value_bytes.saturating_sub(records::MAX_LATER_GROWTH_BYTES)
+fn fits_value(record: &LiveRecord, max_value_bytes: usize) -> bool {
+    to_value(record).to_string().len() <= max_value_bytes.saturating_sub(records::MAX_LATER_GROWTH_BYTES)
 }
 
 /// Returns the first live record of a job. The record of a job that waits for prerequisites names a shard that no
--- a/src/coordination/worker_heartbeats/serving.rs
+++ b/src/coordination/worker_heartbeats/serving.rs
@@ -67,7 +67,7 @@
         // Stopping tasks whose job has ended is always safe. Without a valid leader lease, tasks are started only if
         // the property recovery.hold-on is set, and only while worker leases are still renewed: see "Starting tasks
         // during an outage" in docs/reconciliation.md.
-        let may_start_tasks = self.may_decide(shard_id) || self.settings.properties.recovery.hold_on;
+        let may_start_tasks = self.may_decide(shard_id) || self.settings.properties.recovery.start_without_lease;
         let context = PlacementContext {
             settings: &self.settings,
             types: self.cloud.types(),
--- a/src/service.rs
+++ b/src/service.rs
@@ -59,7 +59,11 @@
     let mut transport = Transport::new(event_loop.handle(), settings.max_sockets);
     listen(&mut transport, &settings)?;
     let mut service = Service::new(settings, &mut transport);
-    log::info!("controller {} listens for users and workers at {}", service.settings.label, service.settings.front);
+    log::info!(
+        "controller {} listens for users and workers at {}",
+        service.settings.label,
+        service.settings.client_addr
+    );
     let mut next_tick = Time::ZERO;
     loop {
         let wait = next_tick.since(transport.clock());
@@ -75,9 +79,9 @@
 
 fn listen(transport: &mut Transport, settings: &Settings) -> Result<(), RunError> {
     let error = |setting, addr| move |reason| RunError::Listen { setting, addr, reason };
-    let (peer_bind, front) = (settings.peer_bind, settings.front);
+    let (peer_bind, client_addr) = (settings.peer_bind, settings.client_addr);
     transport.listen_peers(peer_bind).map_err(error("peer_bind", peer_bind))?;
-    transport.listen_front(front).map_err(error("front", front))
+    transport.listen_front(client_addr).map_err(error("front", client_addr))
 }
 
 /// Reads the steady clock and the wall clock.
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -150,13 +150,13 @@
     *count == 0
 }
 
-/// Divides prerequisites among part records whose values take at most `value_bytes` each, in the given order.
-pub fn parts_of(prerequisites: &[JobId], value_bytes: usize) -> Vec<PartRecord> {
+/// Divides prerequisites among part records whose values take at most `max_value_bytes` each, in the given order.
+pub fn parts_of(prerequisites: &[JobId], max_value_bytes: usize) -> Vec<PartRecord> {
     let mut parts: Vec<PartRecord> = Vec::new();
     let mut used_bytes = 0;
     for job in prerequisites {
         let bytes = job.as_str().len() + PREREQUISITE_OVERHEAD_BYTES;
-        if let Some(part) = parts.last_mut().filter(|_| used_bytes + bytes <= value_bytes) {
+        if let Some(part) = parts.last_mut().filter(|_| used_bytes + bytes <= max_value_bytes) {
             used_bytes += bytes;
             part.needs.push(job.clone());
         } else {
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -66,7 +66,7 @@
 #[test]
 fn settings_are_validated() {
     let settings = Settings::parse(SETTINGS, None).unwrap();
-    assert_eq!((settings.me, settings.nodes.len()), (NodeIndex(1), 2));
+    assert_eq!((settings.own_index, settings.nodes.len()), (NodeIndex(1), 2));
     assert!(!settings.teams[&Name::new("t")].is_limited(), "cpus_max = 0 means no quota");
     let broken = [
         ("lease_s = 10.0", "lease_s = -1.0", "lease_s"),
@@ -89,9 +89,9 @@
 #[test]
 fn announced_limits_of_the_state_service_apply_at_once() {
     let stricter = with_announced_limits("txn_ops = 4\nvalue_kb = 1.5\nwrite_rps = 5.0").unwrap();
-    assert_eq!((stricter.txn_ops, stricter.value_bytes, stricter.state_writes), (4, 1536, 5.0));
-    assert!(stricter.state_writes_now > 5.0);
-    assert_eq!(with_announced_limits("txn_ops = 1000").unwrap().txn_ops, 8);
+    assert_eq!((stricter.max_txn_changes, stricter.max_value_bytes, stricter.state_write_rps), (4, 1536, 5.0));
+    assert!(stricter.current_state_write_rps > 5.0);
+    assert_eq!(with_announced_limits("txn_ops = 1000").unwrap().max_txn_changes, 8);
     for (fields, part) in
         [("txn_ops = 1", "next.txn_ops"), ("value_kb = 0.5", "next.value_kb"), ("rps = -1.0", "next.rps")]
     {
@@ -112,7 +112,7 @@
 #[test]
 fn forecast_properties_are_validated() {
     let forecast = properties(include_str!("../deploy/forecast.properties")).unwrap().forecast;
-    assert!(forecast.enabled && !forecast.plans && forecast.forget.is_empty());
+    assert!(forecast.enabled && !forecast.used_for_planning && forecast.forget.is_empty());
     let forget = properties("forecast.forget = batch, front ,").unwrap().forecast.forget;
     assert_eq!(forget, [Name::new("batch"), Name::new("front")]);
     for bad in ["forecast.enabled=yes", "forecast.plans=true", "forecast.memory.kib=8", "forecast.half-life.s=1"] {
@@ -246,7 +246,7 @@
     let second = TemporaryFile::new("second.properties", "forecast.enabled = true");
     let third = TemporaryFile::new("third.properties", "recovery.asks = 5");
     let loaded = Settings::load(&settings.0, &[first.0.clone(), second.0.clone()]).unwrap().properties;
-    assert!(loaded.forecast.enabled && loaded.headroom == 2.0 && loaded.recovery.asks == 5);
+    assert!(loaded.forecast.enabled && loaded.headroom == 2.0 && loaded.recovery.max_queries == 5);
     let twice = Settings::load(&settings.0, &[first.0.clone(), third.0.clone()]).unwrap_err();
     assert_eq!(twice.to_string(), format!("{}: property recovery.asks: set in two files", third.0.display()));
     let missing = Settings::load(&settings.0.join("missing"), &[]).unwrap_err();
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -331,8 +331,8 @@
     let mut simulation = Simulation::with_disabled_safeguard(seed, DisabledSafeguard::None, [1100, 1100], "");
     for settings in &mut simulation.settings {
         settings.state_rps = 2000.0;
-        settings.state_writes = 800.0;
-        settings.state_writes_now = 800.0;
+        settings.state_write_rps = 800.0;
+        settings.current_state_write_rps = 800.0;
         settings.cloud_rps = 60.0;
     }
     simulation.state_service.request_limits =
--- a/tests/simulation/controllers.rs
+++ b/tests/simulation/controllers.rs
@@ -349,7 +349,7 @@
             }
             Action::Probe { call, addr } => {
                 self.start_call(node, call, CalledService::Probe);
-                let Some(to) = self.settings.iter().position(|settings| settings.front == addr) else { return };
+                let Some(to) = self.settings.iter().position(|settings| settings.client_addr == addr) else { return };
                 if let Some(at) = self.packet_arrival(from, Endpoint::Controller(to)) {
                     self.schedule(at, ScheduledEvent::ProbeArrives { node, incarnation, call, to });
                 }
