--- a/crates/leadership/src/cancellation.rs
+++ b/crates/leadership/src/cancellation.rs
@@ -45,7 +45,7 @@
     /// The grace period is the longest with which the bound is kept even if another node records a cancellation at the
     /// moment when the leader lease ends.
     pub fn grace(&self) -> Span {
-        (self.max_duration - self.worker_lease.stretched() - EXPIRY_MARGIN).shrunk()
+        (self.max_duration - self.worker_lease.upper_bound_under_drift() - EXPIRY_MARGIN).lower_bound_under_drift()
     }
 
     /// Returns the longest time for which a task can remain on a machine: until the last renewed worker lease has
@@ -53,9 +53,9 @@
     pub fn max_removal_time(&self, lease_source: LeaseSource) -> Span {
         let last_renewal = match lease_source {
             LeaseSource::Leader => Span::ZERO,
-            LeaseSource::FormerLeader => self.grace().stretched(),
+            LeaseSource::FormerLeader => self.grace().upper_bound_under_drift(),
         };
-        last_renewal + self.worker_lease.stretched() + EXPIRY_MARGIN
+        last_renewal + self.worker_lease.upper_bound_under_drift() + EXPIRY_MARGIN
     }
 
     /// Returns `true` if these settings allow the bound on cancelled tasks to be kept.
--- a/crates/leadership/src/leader_lease.rs
+++ b/crates/leadership/src/leader_lease.rs
@@ -76,6 +76,6 @@
     }
 
     fn deadline_after(&self, bound_ms: u64) -> Time {
-        self.confirmed_at + Span::millis(bound_ms).shrunk()
+        self.confirmed_at + Span::millis(bound_ms).lower_bound_under_drift()
     }
 }
--- a/crates/leadership/src/overlap.rs
+++ b/crates/leadership/src/overlap.rs
@@ -49,7 +49,7 @@
 
     /// Returns the longest time for which the deposed leader's lease may last after the replacement.
     pub fn max_duration(&self) -> Span {
-        Span::millis(self.bounds.decision_ms).stretched()
+        Span::millis(self.bounds.decision_ms).upper_bound_under_drift()
     }
 
     /// Records a heartbeat of a node that knows of a term at least as new as the one that replaced the deposed leader.
@@ -68,6 +68,6 @@
     }
 
     fn has_passed(&self, now: Time, bound_ms: u64) -> bool {
-        self.ended_early || now >= self.since + Span::millis(bound_ms).stretched()
+        self.ended_early || now >= self.since + Span::millis(bound_ms).upper_bound_under_drift()
     }
 }
--- a/crates/model/src/model/job.rs
+++ b/crates/model/src/model/job.rs
@@ -112,7 +112,7 @@
     }
 
     /// Returns the maximum number of tasks of the job that may run in the same zone.
-    pub fn zone_cap(&self) -> u32 {
+    pub fn max_tasks_per_zone(&self) -> u32 {
         if self.spread { self.tasks.div_ceil(2) } else { u32::MAX }
     }
 }
--- a/crates/model/src/model/machine_type.rs
+++ b/crates/model/src/model/machine_type.rs
@@ -9,7 +9,7 @@
     /// Name of the type.
     pub name: Name,
     /// Total resources of a machine of this type.
-    pub room: Resources,
+    pub capacity: Resources,
     /// Size of the image cache of a machine in GB.
     pub cache_gb: f64,
     /// Rate at which a machine fetches images, in GB per second.
--- a/crates/model/src/time.rs
+++ b/crates/model/src/time.rs
@@ -59,13 +59,13 @@
 
     /// Returns the upper bound of the duration that a machine with another clock measures while this span passes here.
     /// Waiting for this long ensures that a lease of this duration held by another machine has expired.
-    pub fn stretched(self) -> Span {
+    pub fn upper_bound_under_drift(self) -> Span {
         Span(self.0 + self.max_deviation())
     }
 
     /// Returns the lower bound of the duration that a machine with another clock measures while this span passes here.
     /// The holder of a lease of this duration must not rely on the lease for longer.
-    pub fn shrunk(self) -> Span {
+    pub fn lower_bound_under_drift(self) -> Span {
         Span(self.0.saturating_sub(self.max_deviation()))
     }
 
--- a/crates/reconciliation/src/answer_loss.rs
+++ b/crates/reconciliation/src/answer_loss.rs
@@ -62,7 +62,9 @@
             AnswerEvidence::Received => self.reset(),
             AnswerEvidence::Missing => self.record_miss(now),
             // If no answer had been received, the epoch would have ended by now.
-            AnswerEvidence::NotExpected if now.since(epoch_since) > worker_lease.stretched() + EPOCH_MARGIN => {
+            AnswerEvidence::NotExpected
+                if now.since(epoch_since) > worker_lease.upper_bound_under_drift() + EPOCH_MARGIN =>
+            {
                 self.reset();
             }
             AnswerEvidence::NotExpected => {}
--- a/src/coordination/cloud.rs
+++ b/src/coordination/cloud.rs
@@ -157,8 +157,8 @@
     }
 
     /// Returns the resources of a machine of the given type, if the type is known.
-    pub fn room(&self, kind: &Name) -> Option<Resources> {
-        self.machine_type(kind).map(|machine_type| machine_type.room)
+    pub fn capacity(&self, kind: &Name) -> Option<Resources> {
+        self.machine_type(kind).map(|machine_type| machine_type.capacity)
     }
 
     /// Returns the time in seconds in which the fastest machine type fetches an image; `f64::MAX` if no type is known.
--- a/src/coordination/forecasts/capacity.rs
+++ b/src/coordination/forecasts/capacity.rs
@@ -27,7 +27,7 @@
 struct MachineGroup {
     class: MachineClass,
     /// Resources of one machine.
-    room: Resources,
+    capacity: Resources,
     /// Number of machines.
     count: u32,
     /// Time until the machines are up. `None` if they are up already.
@@ -88,7 +88,7 @@
         let cpus_of_task = spec.needs.cpus.value();
         let mut capacity = AvailableCapacity::default();
         for group in self.usable_groups(spec) {
-            let slots = group.count * group.room.slots(&spec.needs);
+            let slots = group.count * group.capacity.slots(&spec.needs);
             let cpus = f64::from(slots) * group.free_cpu_fraction * cpus_of_task;
             match group.time_until_up {
                 None => capacity.cpus += cpus,
@@ -113,10 +113,10 @@
         up.service_cpus += service_cpus(shard, machine);
     }
     let group = |(class, up): (MachineClass, UpMachines)| {
-        let room = types.get(&class.kind)?.room;
-        let all_cpus = (f64::from(up.count) * room.cpus.value()).max(MIN_CPUS);
+        let capacity = types.get(&class.kind)?.capacity;
+        let all_cpus = (f64::from(up.count) * capacity.cpus.value()).max(MIN_CPUS);
         let free_cpu_fraction = (1.0 - up.service_cpus / all_cpus).clamp(0.0, 1.0);
-        Some(MachineGroup { class, room, count: up.count, time_until_up: None, free_cpu_fraction })
+        Some(MachineGroup { class, capacity, count: up.count, time_until_up: None, free_cpu_fraction })
     };
     classes.into_iter().filter_map(group).collect()
 }
@@ -146,10 +146,10 @@
         *counts.entry(BootingMachines { class, seconds_until_up }).or_default() += rental.count;
     }
     let group = |(BootingMachines { class, seconds_until_up }, count): (BootingMachines, u32)| {
-        let room = types.get(&class.kind)?.room;
+        let capacity = types.get(&class.kind)?.capacity;
         Some(MachineGroup {
             class,
-            room,
+            capacity,
             count,
             time_until_up: Some(Span::millis(seconds_until_up * 1000)),
             free_cpu_fraction: 1.0,
--- a/src/coordination/leadership/node_lease.rs
+++ b/src/coordination/leadership/node_lease.rs
@@ -82,12 +82,12 @@
     }
 
     fn granted(&mut self, id: LeaseId, sent: Time, ttl: Span) {
-        self.granted = Some(GrantedLease { id, valid_until: sent + ttl.shrunk() });
+        self.granted = Some(GrantedLease { id, valid_until: sent + ttl.lower_bound_under_drift() });
     }
 
     fn renewed(&mut self, sent: Time, ttl: Span) {
         if let Some(lease) = &mut self.granted {
-            lease.valid_until = lease.valid_until.max(sent + ttl.shrunk());
+            lease.valid_until = lease.valid_until.max(sent + ttl.lower_bound_under_drift());
         }
     }
 
--- a/src/coordination/machine_transfer.rs
+++ b/src/coordination/machine_transfer.rs
@@ -39,12 +39,12 @@
             if remaining.count == 0 {
                 break;
             }
-            let Some(room) = self.usable_room(&offer, &demand.spec) else { continue };
+            let Some(capacity) = self.usable_capacity(&offer, &demand.spec) else { continue };
             if self.is_requested(&offer.machine) || !self.request_offered_machine(&offer.machine, id) {
                 continue;
             }
             let class = MachineClass { kind: offer.kind.clone(), zone: offer.zone.clone(), spot: offer.spot };
-            bins.push(PackingBin::expected(class, room));
+            bins.push(PackingBin::expected(class, capacity));
             remaining.count = pack(bins, &remaining, self.cloud.types());
             if let Some(shard) = self.shards.get_mut(&id) {
                 let machine = offer.machine.clone();
@@ -66,10 +66,10 @@
     }
 
     /// Returns the resources of an offered machine, or `None` if no task of the job may run there or fits.
-    fn usable_room(&self, offer: &MachineOffer, spec: &JobSpec) -> Option<Resources> {
-        let room = self.cloud.machine_type(&offer.kind)?.room;
-        let is_usable = spec.allows(&offer.kind, &offer.zone, offer.spot) && room.slots(&spec.needs) > 0;
-        is_usable.then_some(room)
+    fn usable_capacity(&self, offer: &MachineOffer, spec: &JobSpec) -> Option<Resources> {
+        let capacity = self.cloud.machine_type(&offer.kind)?.capacity;
+        let is_usable = spec.allows(&offer.kind, &offer.zone, offer.spot) && capacity.slots(&spec.needs) > 0;
+        is_usable.then_some(capacity)
     }
 
     /// Returns `true` if a shard of this node has requested the offered machine recently.
--- a/src/coordination/placement/binding.rs
+++ b/src/coordination/placement/binding.rs
@@ -93,7 +93,7 @@
     ) -> Option<Binding<'a>> {
         let machine = self.machines.get(machine_id)?;
         let machine_type = context.types.get(&machine.kind)?;
-        let free = machine_type.room.minus(&machine.used());
+        let free = machine_type.capacity.minus(&machine.used());
         if !machine.accepts_tasks(context.now) || free.cpus == Quantity(0) {
             return None;
         }
@@ -172,7 +172,7 @@
     fn decide_without_room(&self, job: &Job, binding: &Binding, context: &PlacementContext) -> BindingDecision {
         let service_usage =
             self.machines.get(binding.machine_id).map(|machine| self.service_usage(machine)).unwrap_or_default();
-        if !job.spec.needs.fits_in(&binding.machine_type.room.minus(&service_usage)) {
+        if !job.spec.needs.fits_in(&binding.machine_type.capacity.minus(&service_usage)) {
             return BindingDecision::NextJob;
         }
         let skip_limit = context.settings.properties.skip_limit;
--- a/src/coordination/placement/constraints.rs
+++ b/src/coordination/placement/constraints.rs
@@ -32,7 +32,8 @@
         let unreconciled = self.unreconciled_tasks(job, zone);
         let placed = self.count_by_zone(&job.spec.id, zone);
         let other_zones_are_free = placed.elsewhere == 0 && !unreconciled.any_elsewhere;
-        (!job.spec.one_zone || other_zones_are_free) && placed.in_zone + unreconciled.in_zone < job.spec.zone_cap()
+        (!job.spec.one_zone || other_zones_are_free)
+            && placed.in_zone + unreconciled.in_zone < job.spec.max_tasks_per_zone()
     }
 
     /// Returns the unreconciled tasks of a job that may be running in the zone or in other zones.
--- a/src/coordination/placement/preemption.rs
+++ b/src/coordination/placement/preemption.rs
@@ -109,7 +109,10 @@
         machines
             .filter_map(|(id, machine)| {
                 let machine_type = context.types.get(&machine.kind)?;
-                Some(FreeRoom { machine: id.clone(), room: machine_type.room.minus(&machine.committed_resources()) })
+                Some(FreeRoom {
+                    machine: id.clone(),
+                    room: machine_type.capacity.minus(&machine.committed_resources()),
+                })
             })
             .collect()
     }
@@ -191,7 +194,7 @@
         let machine = self.machines.get(&free.machine)?;
         let machine_type = context.types.get(&machine.kind)?;
         let victims = self.cheapest_victims(job, machine, &free.room, context.now)?;
-        let score = self.placement_score(job, machine, machine_type.room.cpus);
+        let score = self.placement_score(job, machine, machine_type.capacity.cpus);
         Some(PreemptionCandidate { score, victims, index })
     }
 
--- a/src/coordination/placement/score.rs
+++ b/src/coordination/placement/score.rs
@@ -68,7 +68,7 @@
         }
         let Some(machine) = self.machines.get(machine_id) else { return false };
         let Some(machine_type) = context.types.get(&machine.kind) else { return false };
-        let score = self.placement_score(job, machine, machine_type.room.cpus);
+        let score = self.placement_score(job, machine, machine_type.capacity.cpus);
         let image_fetch = Span::secs(job.spec.image_gb / machine_type.fetch_gb_per_s);
         let Some(worth_waiting_for) = worth_waiting_for(job, &score, image_fetch, max_wait, context) else {
             return false;
@@ -95,12 +95,12 @@
             && job.spec.allows(&other.kind, &other.zone, other.spot)
             && !job.avoids(other_id, context.now);
         let Some(machine_type) = context.types.get(&other.kind).filter(|_| may_run) else { return false };
-        let other_score = self.placement_score(job, other, machine_type.room.cpus);
+        let other_score = self.placement_score(job, other, machine_type.capacity.cpus);
         let suits_better = match worth_waiting_for {
             WorthWaitingFor::BetterScore => other_score < *score,
             WorthWaitingFor::Image => !other_score.lacks_image,
         };
-        suits_better && job.spec.needs.fits_in(&machine_type.room.minus(&other.committed_resources()))
+        suits_better && job.spec.needs.fits_in(&machine_type.capacity.minus(&other.committed_resources()))
     }
 }
 
--- a/src/coordination/scale_out/mod.rs
+++ b/src/coordination/scale_out/mod.rs
@@ -99,9 +99,9 @@
         let Some(class) = self.cheapest_class(&demand, wanted_slots, bins) else { return };
         let Some(machine_type) = self.cloud.machine_type(&class.kind) else { return };
         let tasks_per_machine =
-            machine_type.room.slots(&demand.spec.needs).max(1) * demand.tasks_per_slot.on_new_machine;
+            machine_type.capacity.slots(&demand.spec.needs).max(1) * demand.tasks_per_slot.on_new_machine;
         let count = demand.count.div_ceil(tasks_per_machine);
-        bins.extend((0..count).map(|_| PackingBin::expected(class.clone(), machine_type.room)));
+        bins.extend((0..count).map(|_| PackingBin::expected(class.clone(), machine_type.capacity)));
         pack(bins, &demand, self.cloud.types());
         match rentals.iter_mut().find(|rental| rental.is_of(&class)) {
             Some(rental) => rental.count += count,
--- a/src/coordination/scale_out/packing.rs
+++ b/src/coordination/scale_out/packing.rs
@@ -85,7 +85,7 @@
                 Some(PackingBin {
                     id: Some(id.clone()),
                     class: MachineClass { kind: machine.kind.clone(), zone: machine.zone.clone(), spot: machine.spot },
-                    room: machine_type.room.minus(&shard.service_usage(machine)),
+                    room: machine_type.capacity.minus(&shard.service_usage(machine)),
                     used: shard.service_attempts(machine).next().is_some(),
                 })
             })
@@ -103,7 +103,7 @@
         let mut bins = Vec::new();
         for (class, count) in booting.chain(requested).chain(rentals) {
             let Some(machine_type) = self.cloud.machine_type(&class.kind) else { continue };
-            bins.extend((0..count).map(|_| PackingBin::expected(class.clone(), machine_type.room)));
+            bins.extend((0..count).map(|_| PackingBin::expected(class.clone(), machine_type.capacity)));
         }
         bins
     }
--- a/src/coordination/scale_out/rental_choice.rs
+++ b/src/coordination/scale_out/rental_choice.rs
@@ -43,7 +43,7 @@
     ) -> Option<MachineClass> {
         let mut best: Option<RentalOption> = None;
         for machine_type in self.cloud.catalog() {
-            if !demand.spec.allows_type(&machine_type.name) || !demand.spec.needs.fits_in(&machine_type.room) {
+            if !demand.spec.allows_type(&machine_type.name) || !demand.spec.needs.fits_in(&machine_type.capacity) {
                 continue;
             }
             for spot in [false, true].into_iter().filter(|spot| may_rent(demand, *spot)) {
@@ -89,7 +89,7 @@
 
 /// Returns the cost of machines of the type that have the wanted number of slots together.
 fn rental_cost(spec: &JobSpec, wanted_slots: u32, machine_type: &MachineType, spot: bool) -> f64 {
-    let slots = machine_type.room.slots(&spec.needs).max(1);
+    let slots = machine_type.capacity.slots(&spec.needs).max(1);
     let machines = wanted_slots.div_ceil(slots);
     // A machine can be deleted only after the last task of its services has ended, and that takes longer the more of
     // them there are: of n tasks that end at random, the last one runs on average for the n-th harmonic number times as
--- a/src/coordination/shard/attempts.rs
+++ b/src/coordination/shard/attempts.rs
@@ -32,13 +32,14 @@
             return counted;
         }
         let everything = Resources { cpus: UNBOUNDED, gpus: UNBOUNDED, memory: UNBOUNDED };
-        let room = |kind: &Name| types.get(kind).map_or(everything, |kind| kind.room);
+        let capacity = |kind: &Name| types.get(kind).map_or(everything, |kind| kind.capacity);
         self.count_inspections(self.machines_with_unknown_jobs.len());
         let with_unknown_jobs = self.machines_with_unknown_jobs.iter().filter_map(|id| self.machines.get(id));
-        let unknown_jobs = with_unknown_jobs.fold(Resources::default(), |sum, machine| sum.plus(&room(&machine.kind)));
+        let unknown_jobs =
+            with_unknown_jobs.fold(Resources::default(), |sum, machine| sum.plus(&capacity(&machine.kind)));
         let quota = settings.teams.get(team).filter(|_| self.leadership.same_quotas);
         let quota = quota.map(|quota| TeamQuota { cpus: quota.cpus_max, gpus: quota.gpus_max });
-        counted.plus(&self.recovery.max_unreconciled_usage(team, quota, room, unknown_jobs))
+        counted.plus(&self.recovery.max_unreconciled_usage(team, quota, capacity, unknown_jobs))
     }
 
     /// Adds an attempt to a machine in memory, and to its team's usage unless it is over. It becomes the current
--- a/src/coordination/shard/machine.rs
+++ b/src/coordination/shard/machine.rs
@@ -203,7 +203,9 @@
     /// Returns the time after which no attempt on the machine can still be running, unless another leader has renewed
     /// the worker lease.
     pub fn worker_lease_end(&self, worker_lease: Span) -> Time {
-        let end = self.last_answered_at.map_or(Time::ZERO, |at| at + worker_lease.stretched() + WORKER_LEASE_MARGIN);
+        let end = self
+            .last_answered_at
+            .map_or(Time::ZERO, |at| at + worker_lease.upper_bound_under_drift() + WORKER_LEASE_MARGIN);
         if self.reconciled { end } else { end.max(self.reconciled_by) }
     }
 
--- a/src/coordination/shard_recovery/loading.rs
+++ b/src/coordination/shard_recovery/loading.rs
@@ -182,7 +182,7 @@
         let id = leadership.shard;
         self.directory.set_machine_shard(machine.clone(), record.shard);
         let reconciled_by = self.end_of_inherited_worker_leases(id);
-        let size = self.cloud.room(&record.kind).unwrap_or_default();
+        let size = self.cloud.capacity(&record.kind).unwrap_or_default();
         let Some(shard) = self.shard_in_term(leadership) else { return };
         let is_gone = shard.fleet.stale_machine_records.contains_key(&machine);
         if record.shard == id && !is_gone && !shard.machines.contains_key(&machine) {
@@ -202,7 +202,7 @@
         self.now
             + max_overlap
             + self.worker_lease_grace()
-            + self.settings.worker_lease.stretched()
+            + self.settings.worker_lease.upper_bound_under_drift()
             + WORKER_LEASE_MARGIN
     }
 
--- a/src/coordination/user_requests/feasibility.rs
+++ b/src/coordination/user_requests/feasibility.rs
@@ -45,6 +45,6 @@
 /// Returns `true` if the job allows the machine type and one of its tasks fits on a machine of that type.
 fn fits_type(spec: &JobSpec, machine_type: &MachineType) -> bool {
     spec.allows_type(&machine_type.name)
-        && spec.needs.fits_in(&machine_type.room)
+        && spec.needs.fits_in(&machine_type.capacity)
         && spec.zone.as_ref().is_none_or(|zone| machine_type.zones.contains(zone))
 }
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -286,7 +286,7 @@
     fn from(wire: &WireMachineType) -> MachineType {
         MachineType {
             name: Name::new(&wire.label),
-            room: Resources {
+            capacity: Resources {
                 cpus: Quantity::new(wire.cores),
                 gpus: Quantity::new(wire.gpus),
                 memory: Quantity::new(wire.ram_gb),
--- a/src/service.rs
+++ b/src/service.rs
@@ -81,7 +81,7 @@
     let error = |setting, addr| move |reason| RunError::Listen { setting, addr, reason };
     let (peer_bind, client_addr) = (settings.peer_bind, settings.client_addr);
     transport.listen_peers(peer_bind).map_err(error("peer_bind", peer_bind))?;
-    transport.listen_front(client_addr).map_err(error("front", client_addr))
+    transport.listen_clients(client_addr).map_err(error("front", client_addr))
 }
 
 /// Reads the steady clock and the wall clock.
--- a/src/transport/reactor/listener.rs
+++ b/src/transport/reactor/listener.rs
@@ -19,7 +19,7 @@
 
 impl Transport {
     /// Listens for users and workers.
-    pub fn listen_front(&mut self, addr: SocketAddrV4) -> io::Result<()> {
+    pub fn listen_clients(&mut self, addr: SocketAddrV4) -> io::Result<()> {
         self.listen(addr, ListenerKind::Clients)
     }
 
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -126,7 +126,7 @@
     let crowd = 900.min(system);
     let (_event_loop, mut transport) = transport(2000);
     let addr = SocketAddrV4::new(Ipv4Addr::LOCALHOST, free_port());
-    transport.listen_front(addr).unwrap();
+    transport.listen_clients(addr).unwrap();
     let mut waiting = Vec::new();
     for at in 0..crowd {
         let connected = TcpStream::connect_timeout(&addr.into(), Duration::from_millis(500));
@@ -209,7 +209,7 @@
     const CLIENTS: usize = 200;
     let (mut event_loop, mut transport) = transport(64);
     let addr = SocketAddrV4::new(Ipv4Addr::LOCALHOST, free_port());
-    transport.listen_front(addr).unwrap();
+    transport.listen_clients(addr).unwrap();
     let clients = std::thread::spawn(move || {
         let mut kept = Vec::new();
         for at in 0..CLIENTS {
--- a/tests/simulation/cloud.rs
+++ b/tests/simulation/cloud.rs
@@ -68,7 +68,7 @@
 pub fn machine_types() -> Vec<MachineType> {
     let kind = |name: &str, cpus: f64, price: f64, spot_price: f64| MachineType {
         name: Name::new(name),
-        room: Resources { cpus: Quantity::new(cpus), gpus: Quantity::new(0.0), memory: Quantity::new(cpus * 2.0) },
+        capacity: Resources { cpus: Quantity::new(cpus), gpus: Quantity::new(0.0), memory: Quantity::new(cpus * 2.0) },
         cache_gb: 20.0,
         fetch_gb_per_s: 0.5,
         price,
@@ -77,7 +77,7 @@
         zones: vec![Name::new("east"), Name::new("west")],
     };
     let mut gpus = kind("gpus", 16.0, 3.0, 1.5);
-    gpus.room.gpus = Quantity::new(4.0);
+    gpus.capacity.gpus = Quantity::new(4.0);
     vec![kind("small", 4.0, 0.25, 0.1), kind("large", 16.0, 0.9, 0.45), gpus]
 }
 
@@ -123,7 +123,7 @@
 
     fn offered_machine_types(&self) -> Vec<MachineType> {
         let mut types = machine_types();
-        types.retain(|kind| self.cloud.offers_gpus || kind.room.gpus.0 == 0);
+        types.retain(|kind| self.cloud.offers_gpus || kind.capacity.gpus.0 == 0);
         types
     }
 
--- a/tests/simulation/workers.rs
+++ b/tests/simulation/workers.rs
@@ -128,7 +128,7 @@
     /// Returns the resources of the machine's type.
     pub(super) fn capacity(&self) -> Resources {
         let kind = cloud::machine_types().into_iter().find(|kind| kind.name == self.kind);
-        kind.map(|kind| kind.room).unwrap_or_default()
+        kind.map(|kind| kind.capacity).unwrap_or_default()
     }
 
     /// Whether the machine can be expected to keep and complete tasks.
--- a/tests/soak/wire.rs
+++ b/tests/soak/wire.rs
@@ -190,8 +190,8 @@
 }
 
 fn machine_type_body(kind: &MachineType) -> Value {
-    json!({"label": kind.name, "cores": amount(kind.room.cpus), "gpus": amount(kind.room.gpus),
-        "ram_gb": amount(kind.room.memory), "cache_gb": kind.cache_gb, "pull_gb_per_s": kind.fetch_gb_per_s,
+    json!({"label": kind.name, "cores": amount(kind.capacity.cpus), "gpus": amount(kind.capacity.gpus),
+        "ram_gb": amount(kind.capacity.memory), "cache_gb": kind.cache_gb, "pull_gb_per_s": kind.fetch_gb_per_s,
         "hourly": kind.price, "spot_price": kind.spot_price, "startup_s": kind.boot.as_secs(), "roosts": kind.zones})
 }
 
--- a/tests/transport.rs
+++ b/tests/transport.rs
@@ -1,5 +1,5 @@
-//! The transport on real loopback sockets: pooled connections to services, requests of users and workers at the front
-//! listener, and frames between controllers.
+//! The transport on real loopback sockets: pooled connections to services, requests of users and workers, and
+//! frames between controllers.
 
 use calloop::EventLoop;
 use crowstall::time::Span;
@@ -10,8 +10,8 @@
 use std::time::{Duration, Instant};
 
 const MAX_SOCKETS: usize = 64;
-/// Number of front connections that `MAX_SOCKETS` allows.
-const MAX_FRONT_CONNECTIONS: usize = 40;
+/// Number of connections of users and workers that `MAX_SOCKETS` allows.
+const MAX_CLIENT_CONNECTIONS: usize = 40;
 const MAX_CONNECTIONS_PER_SERVICE: usize = 8;
 /// Timeout of calls that must not expire during a test.
 const LONG: Span = Span::millis(60_000);
@@ -240,7 +240,7 @@
 fn requests_on_a_connection_are_replied_to_in_their_order() {
     let mut harness = Harness::new();
     let addr = free_address();
-    harness.transport.listen_front(addr).unwrap();
+    harness.transport.listen_clients(addr).unwrap();
     let mut client = TcpStream::connect(addr).unwrap();
     client.write_all(b"GET /1 HTTP/1.1\r\n\r\nGET /2 HTTP/1.1\r\nConnection: close\r\n\r\n").unwrap();
     let (first, path) = harness.next_request();
@@ -270,7 +270,7 @@
 fn a_client_that_sends_on_without_reading_is_cut_off() {
     let mut harness = Harness::new();
     let addr = free_address();
-    harness.transport.listen_front(addr).unwrap();
+    harness.transport.listen_clients(addr).unwrap();
     let mut client = TcpStream::connect(addr).unwrap();
     client.write_all(b"GET /1 HTTP/1.1\r\n\r\n").unwrap();
     harness.next_request();
@@ -284,9 +284,9 @@
 fn front_connections_are_limited() {
     let mut harness = Harness::new();
     let addr = free_address();
-    harness.transport.listen_front(addr).unwrap();
+    harness.transport.listen_clients(addr).unwrap();
     let mut clients = Vec::new();
-    for _ in 0..MAX_FRONT_CONNECTIONS {
+    for _ in 0..MAX_CLIENT_CONNECTIONS {
         clients.push(TcpStream::connect(addr).unwrap());
         harness.turn();
     }
