--- a/benches/watch_cache.rs
+++ b/benches/watch_cache.rs
@@ -5,7 +5,7 @@
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use crowstall::model::{JobId, JobKind, JobSpec, Name, Priority, Quantity, Resources, Revision, ShardId};
-use crowstall::protocol::state::{LogEntry, StateAnswer, StateCall};
+use crowstall::protocol::state::{StateAnswer, StateCall, WatchedChange};
 use crowstall::storage::records::{LiveRecord, MachineRecord, to_value};
 use crowstall::time::{Span, Time};
 use crowstall_leadership::{WatchCache, WatchChange};
@@ -57,14 +57,14 @@
     let done = "0-40,42,45-90".to_string();
     let record = LiveRecord {
         shard: ShardId(0),
-        home: None,
+        home_shard: None,
         parts: 0,
         job,
         accepted_ms: 1_700_000_000_000,
         ready_ms: None,
         done,
         start_watermark: 250,
-        failing: false,
+        fails_everywhere: false,
     };
     (format!("live/wk-{number:06}"), to_value(&record))
 }
@@ -158,10 +158,10 @@
                 cache.next_request(now, true).expect("a request is due");
                 let Ok(StateAnswer::Changes { log, revision }) = call.answer(200, &wire) else { panic!("no changes") };
                 let read = |change| match change {
-                    LogEntry::Set { key, value, version } => {
+                    WatchedChange::Set { key, value, version } => {
                         WatchChange::Set(key, version, serde_json::from_value(value).expect("the value is a record"))
                     }
-                    LogEntry::Delete { key, version } => WatchChange::Delete(key, version),
+                    WatchedChange::Delete { key, version } => WatchChange::Delete(key, version),
                 };
                 cache.changed(log.into_iter().map(read).collect(), revision, now);
             });
--- a/src/coordination/controller.rs
+++ b/src/coordination/controller.rs
@@ -320,7 +320,7 @@
     /// is confirmed.
     fn state_answered(&mut self, pending: PendingStateCall, answer: StateResult) {
         let limit_exceeded = matches!(answer, Err(CallError::Refused { over_limit: true }));
-        if limit_exceeded && self.calls.record_limit_exceeded(self.now, self.settings.state_writes) {
+        if limit_exceeded && self.calls.record_limit_exceeded(self.now, self.settings.state_write_rps) {
             self.update_rate_limit_shares();
         }
         if answer.is_ok() || limit_exceeded {
@@ -357,8 +357,8 @@
         match message {
             heartbeat @ PeerMessage::Heartbeat { .. } => self.handle_peer_heartbeat(from, heartbeat),
             PeerMessage::Released { shard } => self.leadership_handed_over(shard),
-            PeerMessage::Take { machine, shard } => self.offered_machine_requested(machine, shard),
-            PeerMessage::Moved { machine, shard } => self.machine_transferred_here(machine, shard),
+            PeerMessage::RequestMachine { machine, shard } => self.offered_machine_requested(machine, shard),
+            PeerMessage::MachineTransferred { machine, shard } => self.machine_transferred_here(machine, shard),
             PeerMessage::ClientRequest { number, shard, client_request } => {
                 self.handle_forwarded_request(Requester::Peer { node: from, number }, shard, client_request);
             }
--- a/src/coordination/worker_heartbeats/serving.rs
+++ b/src/coordination/worker_heartbeats/serving.rs
@@ -67,7 +67,7 @@
         // Stopping tasks whose job has ended is always safe. Without a valid leader lease, tasks are started only if
         // the property recovery.hold-on is set, and only while worker leases are still renewed: see "Starting tasks
         // during an outage" in docs/reconciliation.md.
-        let may_start_tasks = self.may_decide(shard_id) || self.settings.properties.recovery.hold_on;
+        let may_start_tasks = self.may_decide(shard_id) || self.settings.properties.recovery.start_without_lease;
         let context = PlacementContext {
             settings: &self.settings,
             types: self.cloud.types(),
@@ -99,7 +99,7 @@
 /// answered with 200, it would stay with this node while its lease expires.
 fn refusal(machine: &Machine, heartbeat: &WorkerHeartbeat, may_renew_worker_leases: bool) -> Option<Reply> {
     if machine.deleting {
-        return Some(Reply::busy(BusyReason::BeingReturned));
+        return Some(Reply::busy(BusyReason::MachineBeingDeleted));
     }
     (shows_newer_leader(machine, heartbeat) || !may_renew_worker_leases).then(|| workers::redirect(None))
 }
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -44,9 +44,9 @@
         rented,
         spare,
         incarnation: u64::MAX,
-        known: shards,
+        known_terms: shards,
         state_silence: Span::ZERO,
-        peer_ages: Vec::new(),
+        heartbeat_ages: Vec::new(),
         message_version: peers::MESSAGE_VERSION,
     };
     Envelope { from: NodeLabel::new("perch-0"), message }
@@ -126,7 +126,7 @@
     let crowd = 900.min(system);
     let (_event_loop, mut transport) = transport(2000);
     let addr = SocketAddrV4::new(Ipv4Addr::LOCALHOST, free_port());
-    transport.listen_front(addr).unwrap();
+    transport.listen_clients(addr).unwrap();
     let mut waiting = Vec::new();
     for at in 0..crowd {
         let connected = TcpStream::connect_timeout(&addr.into(), Duration::from_millis(500));
@@ -209,7 +209,7 @@
     const CLIENTS: usize = 200;
     let (mut event_loop, mut transport) = transport(64);
     let addr = SocketAddrV4::new(Ipv4Addr::LOCALHOST, free_port());
-    transport.listen_front(addr).unwrap();
+    transport.listen_clients(addr).unwrap();
     let clients = std::thread::spawn(move || {
         let mut kept = Vec::new();
         for at in 0..CLIENTS {
@@ -331,8 +331,8 @@
     let mut simulation = Simulation::with_disabled_safeguard(seed, DisabledSafeguard::None, [1100, 1100], "");
     for settings in &mut simulation.settings {
         settings.state_rps = 2000.0;
-        settings.state_writes = 800.0;
-        settings.state_writes_now = 800.0;
+        settings.state_write_rps = 800.0;
+        settings.current_state_write_rps = 800.0;
         settings.cloud_rps = 60.0;
     }
     simulation.state_service.request_limits =
