--- a/benches/watch_cache.rs
+++ b/benches/watch_cache.rs
@@ -1,11 +1,11 @@
-//! The cost of a watch cache for fleets of several sizes: of the first list, of a second's changes, and of the memory.
-//! Answers are decoded from their wire form, as a controller does.
+//! Benchmarks of a watch cache for fleets of several sizes: the first list, and the changes of one second. Also prints
+//! the memory of the cache. Answers are decoded from their wire form, as in a controller.
 
 #![allow(missing_docs)]
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use crowstall::model::{JobId, JobKind, JobSpec, Name, Priority, Quantity, Resources, Revision, ShardId};
-use crowstall::protocol::state::{LogEntry, StateAnswer, StateCall};
+use crowstall::protocol::state::{StateAnswer, StateCall, WatchedChange};
 use crowstall::storage::records::{LiveRecord, MachineRecord, to_value};
 use crowstall::time::{Span, Time};
 use crowstall_leadership::{WatchCache, WatchChange};
@@ -13,10 +13,10 @@
 use std::hint::black_box;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// How many entries a page of a list contains.
+/// Number of entries per page of a list.
 const PAGE_SIZE: usize = 500;
 
-/// How many changes occur in a second at the limit on writes.
+/// Number of changes per second at the state service's limit on writes.
 const CHANGES_PER_SECOND: usize = 100;
 
 /// Returns the key and the record of a machine.
@@ -57,31 +57,31 @@
     let done = "0-40,42,45-90".to_string();
     let record = LiveRecord {
         shard: ShardId(0),
-        home: None,
+        home_shard: None,
         parts: 0,
         job,
         accepted_ms: 1_700_000_000_000,
         ready_ms: None,
         done,
         start_watermark: 250,
-        failing: false,
+        fails_everywhere: false,
     };
     (format!("live/wk-{number:06}"), to_value(&record))
 }
 
-/// Returns the pages of a list as the state service sends them.
+/// Returns the pages of a list, encoded as the state service sends them.
 fn pages(entries: &[(String, serde_json::Value)]) -> Vec<Vec<u8>> {
     let count = entries.len().div_ceil(PAGE_SIZE);
-    let wire = |(at, page): (usize, &[(String, serde_json::Value)])| {
+    let wire = |(index, page): (usize, &[(String, serde_json::Value)])| {
         let entries = page.iter().map(|(key, value)| serde_json::json!({ "k": key, "data": value, "molt": 1 }));
         let entries: Vec<serde_json::Value> = entries.collect();
-        let page = serde_json::json!({ "entries": entries, "truncated": at + 1 < count, "tally": 1 });
+        let page = serde_json::json!({ "entries": entries, "truncated": index + 1 < count, "tally": 1 });
         page.to_string().into_bytes()
     };
     entries.chunks(PAGE_SIZE).enumerate().map(wire).collect()
 }
 
-/// Returns a watch cache that has received the pages.
+/// Returns a watch cache after it has received the pages of a list.
 fn filled_cache<R: serde::de::DeserializeOwned>(pages: &[Vec<u8>]) -> WatchCache<R> {
     let mut cache = WatchCache::new(Span::millis(1000), 1_000_000);
     let mut now = Time::ZERO + Span::millis(1000);
@@ -92,15 +92,15 @@
         cache.next_request(now, true).expect("a page is due");
         let Ok(StateAnswer::Page { entries, more, revision }) = call.answer(200, page) else { panic!("not a page") };
         let read = |entry: crowstall::protocol::state::Entry| {
-            (entry.key, entry.version, serde_json::from_value(entry.value).expect("a record"))
+            (entry.key, entry.version, serde_json::from_value(entry.value).expect("the value is a record"))
         };
         cache.listed(entries.into_iter().map(read).collect(), more, revision, now);
     }
     cache
 }
 
-/// Counts the bytes that are allocated. The memory of the process would say little after the first size, since freed
-/// pages are not returned to the system.
+/// Allocator that counts the allocated bytes. The memory of the process would be misleading from the second fleet size
+/// on, because freed pages are not returned to the system.
 struct CountingAllocator;
 
 static ALLOCATED_BYTES: AtomicUsize = AtomicUsize::new(0);
@@ -111,9 +111,9 @@
         unsafe { System.alloc(layout) }
     }
 
-    unsafe fn dealloc(&self, at: *mut u8, layout: Layout) {
+    unsafe fn dealloc(&self, pointer: *mut u8, layout: Layout) {
         ALLOCATED_BYTES.fetch_sub(layout.size(), Ordering::Relaxed);
-        unsafe { System.dealloc(at, layout) }
+        unsafe { System.dealloc(pointer, layout) }
     }
 }
 
@@ -142,9 +142,9 @@
             });
         });
         let log: Vec<serde_json::Value> = (0..CHANGES_PER_SECOND)
-            .map(|at| {
-                let (key, value) = &jobs[at * 3 % jobs.len()];
-                serde_json::json!({ "set": key, "data": value, "molt": at + 2 })
+            .map(|index| {
+                let (key, value) = &jobs[index * 3 % jobs.len()];
+                serde_json::json!({ "set": key, "data": value, "molt": index + 2 })
             })
             .collect();
         let wire = serde_json::json!({ "tally": CHANGES_PER_SECOND + 2, "log": log }).to_string().into_bytes();
@@ -158,10 +158,10 @@
                 cache.next_request(now, true).expect("a request is due");
                 let Ok(StateAnswer::Changes { log, revision }) = call.answer(200, &wire) else { panic!("no changes") };
                 let read = |change| match change {
-                    LogEntry::Set { key, value, version } => {
-                        WatchChange::Set(key, version, serde_json::from_value(value).expect("a record"))
+                    WatchedChange::Set { key, value, version } => {
+                        WatchChange::Set(key, version, serde_json::from_value(value).expect("the value is a record"))
                     }
-                    LogEntry::Delete { key, version } => WatchChange::Delete(key, version),
+                    WatchedChange::Delete { key, version } => WatchChange::Delete(key, version),
                 };
                 cache.changed(log.into_iter().map(read).collect(), revision, now);
             });
--- a/crates/crowctl/src/plot.rs
+++ b/crates/crowctl/src/plot.rs
@@ -1,4 +1,4 @@
-//! Plots of the accuracy of forecasts over time.
+//! Plots of forecast accuracy over time.
 
 use crowstall_forecast::Tally;
 use plotters::coord::Shift;
@@ -8,20 +8,20 @@
 use std::path::Path;
 
 const SIZE_PIXELS: (u32, u32) = (900, 420);
-/// The shortest time axis.
+/// Minimum length of the time axis.
 const MIN_HOURS: f64 = 0.01;
 
-/// Why a plot could not be drawn.
+/// Error of drawing a plot.
 pub(crate) type PlotError = DrawingAreaErrorKind<io::Error>;
 
 type Canvas<'a> = DrawingArea<SVGBackend<'a>, Shift>;
 type Chart<'a, 'b> = ChartContext<'a, SVGBackend<'b>, Cartesian2d<RangedCoordf64, RangedCoordf64>>;
 
-/// The accuracy of the forecasts in one section of a history.
+/// Accuracy of the forecasts in one section of a history.
 pub(crate) struct PlotPoint {
-    /// The end of the section, in hours since the history began.
+    /// End of the section, in hours since the history began.
     pub(crate) hours: f64,
-    /// The forecasts of the section that were judged.
+    /// Counts of the judged forecasts of the section.
     pub(crate) tally: Tally,
 }
 
@@ -30,7 +30,7 @@
     let canvas = SVGBackend::new(path, SIZE_PIXELS).into_drawing_area();
     canvas.fill(&WHITE)?;
     let mut chart = draw_axes(&canvas, points)?;
-    draw_line(&mut chart, points, "within a quarter", BLUE, Tally::within_quarter_share)?;
+    draw_line(&mut chart, points, "within a quarter", BLUE, Tally::within_quarter_fraction)?;
     draw_line(&mut chart, points, "inside the 80 % interval", RED, Tally::coverage)?;
     chart.configure_series_labels().background_style(WHITE).border_style(BLACK).draw()?;
     canvas.present()
@@ -53,9 +53,9 @@
     points: &[PlotPoint],
     label: &str,
     color: RGBColor,
-    share: fn(&Tally) -> Option<f64>,
+    fraction: fn(&Tally) -> Option<f64>,
 ) -> Result<(), PlotError> {
-    let series = points.iter().filter_map(|point| share(&point.tally).map(|share| (point.hours, share)));
+    let series = points.iter().filter_map(|point| fraction(&point.tally).map(|fraction| (point.hours, fraction)));
     chart
         .draw_series(LineSeries::new(series, &color))?
         .label(label)
--- a/crates/forecast/benches/learning.rs
+++ b/crates/forecast/benches/learning.rs
@@ -1,5 +1,5 @@
-//! Measures learning, predicting, and writing and restoring a snapshot after 100, 10,000 and 1,000,000 observations,
-//! and prints the sizes of learner and snapshots.
+//! Benchmarks of learning, forecasting, and writing and restoring a snapshot after 100, 10,000 and 1,000,000
+//! observations. Also prints the sizes of the learner and its snapshots.
 
 #![allow(missing_docs)]
 
@@ -9,12 +9,12 @@
 use crowstall_forecast::{Attempt, JobObservations, Learner, Limits, Outcome, Span, TaskFeatures, Time, snapshot};
 use std::hint::black_box;
 
-/// A limit that no snapshot reaches.
+/// Size limit that no snapshot reaches.
 const UNLIMITED_BYTES: usize = 1 << 20;
-/// The limit of snapshots that contain only the most useful cells.
+/// Size limit that leaves room only for the most useful cells.
 const LIMITED_BYTES: usize = 4000;
 
-/// Returns a learner after `count` lines of a synthetic history, and the next lines.
+/// Returns a learner after `count` lines of a synthetic history, and the next 1,000 lines.
 fn learner_after(count: usize) -> (Learner, Vec<HistoryLine>) {
     let mut replay = Replay::new(Limits::default());
     let mut history = HistoryGenerator::new(7);
@@ -26,14 +26,14 @@
 
 /// Prints the memory of a learner and the sizes of its snapshots.
 fn print_sizes(count: usize, learner: &Learner, whole: &str, limited: &str) {
-    let (memory, kinds) = (learner.memory(), learner.kinds());
+    let (memory_bytes, cell_count) = (learner.memory_bytes(), learner.cell_count());
     println!(
-        "after {count} observations: {kinds} kinds of work, {memory} bytes in memory, {} for each, snapshot {} \
-         bytes, at most {LIMITED_BYTES}: {} bytes with {} kinds",
-        memory / kinds.max(1),
+        "after {count} observations: {cell_count} kinds of work, {memory_bytes} bytes in memory, {} for each, snapshot \
+         {} bytes, at most {LIMITED_BYTES}: {} bytes with {} kinds",
+        memory_bytes / cell_count.max(1),
         whole.len(),
         limited.len(),
-        snapshot::read(limited).map_or(0, |snapshot| snapshot.kinds()),
+        snapshot::read(limited).map_or(0, |snapshot| snapshot.cell_count()),
     );
 }
 
--- a/crates/forecast/tests/properties/finish_times.rs
+++ b/crates/forecast/tests/properties/finish_times.rs
@@ -1,4 +1,4 @@
-//! Forecasts of finish times and promises.
+//! Forecasts of finish times, and promises.
 
 use crate::support::{features, forecast, learner_with, log_normal};
 use crowstall_forecast::{
@@ -46,7 +46,7 @@
             forecast_finish(&finish_inputs(run_time, pending, &running, ahead, capacity))
         };
         let base = finish(pending, ahead, &capacity).expect("there is capacity");
-        assert_eq!(finish(pending, ahead, &capacity), Some(base), "seed {seed}");
+        assert_eq!(finish(pending, ahead, &capacity), Some(base), "seed {seed}: a second forecast differs");
         assert!(base.low <= base.median && base.median <= base.high, "seed {seed}: {base:?}");
         let assert_not_earlier = |other: Option<FinishForecast>, change: &str| {
             let other = other.expect("there is capacity");
@@ -55,8 +55,8 @@
         };
         assert_not_earlier(finish(pending + rng.random_range(1..50), ahead, &capacity), "more tasks");
         assert_not_earlier(finish(pending, ahead + rng.random_range(0.0..5000.0), &capacity), "more work ahead");
-        let part = rng.random_range(0.3..1.0);
-        let fewer_cpus = AvailableCapacity { cpus: capacity.cpus * part, ..capacity.clone() };
+        let fraction = rng.random_range(0.3..1.0);
+        let fewer_cpus = AvailableCapacity { cpus: capacity.cpus * fraction, ..capacity.clone() };
         assert_not_earlier(finish(pending, ahead, &fewer_cpus), "less capacity");
         assert_not_earlier(finish(pending, ahead, &with_later_boots(&capacity)), "later boots");
     }
@@ -74,25 +74,30 @@
         let job = JobId::new(&format!("wk-{number}"));
         let median_s = rng.random_range(20.0..200.0);
         let median = Span::secs(median_s);
-        // The intervals are half as wide as they should be, until the calibration has adapted.
+        // Without calibration the intervals are about half as wide as they should be.
         let finish = FinishForecast { low: Span::secs(median_s * 0.85), median, high: Span::secs(median_s * 1.15) };
         let first = promises.promise(&job, finish, now);
         let similar = FinishForecast { median: Span::secs(median_s * 1.01), ..finish };
-        assert_eq!(promises.promise(&job, similar, now + Span::secs(0.2)), first, "no material change");
+        assert_eq!(
+            promises.promise(&job, similar, now + Span::secs(0.2)),
+            first,
+            "the promise was revised without a material change"
+        );
         let doubled =
             FinishForecast { low: median, median: Span::secs(2.0 * median_s), high: Span::secs(3.0 * median_s) };
         let revised = promises.promise(&job, doubled, now + Span::secs(1.0));
         assert_eq!(revised.revisions, 1);
-        assert!(revised.by > first.by);
+        assert!(revised.promised_finish > first.promised_finish);
         let end = now + Span::secs(log_normal(&mut rng, median_s, 0.25));
-        let JudgedPromise { promise, lateness } = promises.job_done(&job, end).expect("the job had a promise");
-        assert_eq!((promise, lateness), (first, end.since(first.by)));
+        let JudgedPromise { promise, lateness } =
+            promises.judge_finished_job(&job, end).expect("the job had a promise");
+        assert_eq!((promise, lateness), (first, end.since(first.promised_finish)));
         kept += u64::from(lateness == Span::ZERO);
         total_lateness = total_lateness + lateness;
         now += Span::secs(3.0);
     }
-    assert_eq!(promises.tally.judged - promises.tally.above, kept);
+    assert_eq!(promises.judged.judged - promises.judged.above, kept);
     assert_eq!(promises.total_lateness, total_lateness);
-    assert_eq!(promises.open_count(), 0);
+    assert_eq!(promises.job_count(), 0);
     assert!((1740..=1860).contains(&kept), "{kept} of 2000 were kept");
 }
--- a/src/coordination/forecasts/snapshots.rs
+++ b/src/coordination/forecasts/snapshots.rs
@@ -132,7 +132,7 @@
                 let merged = self.learner.merge(&snapshot, now);
                 log::info!("forecast snapshot {} with {} attempts read: {:?}", entry.key, snapshot.attempts(), merged);
                 if merged == MergeOutcome::Added {
-                    forget.iter().for_each(|class| self.learner.forget(class));
+                    forget.iter().for_each(|class| self.learner.remove_class(class));
                 }
             }
             // An unreadable snapshot costs accuracy only, and the next snapshot replaces it.
@@ -186,9 +186,9 @@
     fn save_snapshot(&mut self, leadership: LeadershipTerm, version: Revision, now: Time) {
         let id = leadership.shard;
         let Some(forecasts) = &mut self.forecasts else { return };
-        let interval = forecasts.properties.snapshot;
+        let interval = forecasts.properties.snapshot_interval;
         let Some(store) = forecasts.store_in_term(leadership) else { return };
-        let max_bytes = self.settings.value_bytes.saturating_sub(RECORD_OVERHEAD);
+        let max_bytes = self.settings.max_value_bytes.saturating_sub(RECORD_OVERHEAD);
         let Some(text) = snapshot::write(&store.learner, now, max_bytes) else {
             // Even the coarsest snapshot exceeds the limit, so none can be saved with these settings.
             store.snapshot.next_call_at = now + MAX_RETRY_BACKOFF;
--- a/src/coordination/forecasts/store.rs
+++ b/src/coordination/forecasts/store.rs
@@ -8,7 +8,7 @@
 use super::snapshots::SnapshotState;
 use crate::config::Settings;
 use crate::model::{JobId, JobKind, JobSpec, Name, Revision};
-use crate::protocol::users::ForecastRecord;
+use crate::protocol::users::ForecastAccuracy;
 use crate::time::{Span, Time};
 use crowstall_forecast::{
     self as forecast, FinishForecast, FinishInputs, Learner, Limits, Promises, RunTimeForecast, TaskFeatures,
@@ -138,7 +138,7 @@
             round.ahead_cpu_s += work_cpu_s;
             let mean = forecast.run.mean;
             self.forecasts.insert(id.clone(), forecast);
-            if context.settings.properties.forecast.plans
+            if context.settings.properties.forecast.used_for_planning
                 && let Some(job) = shard.jobs.get_mut(&id)
             {
                 job.runtimes.learned_run_time = Some(mean);
@@ -182,19 +182,19 @@
         let before = self.promises.get(id);
         let promise = self.promises.promise(id, finish, now);
         if before != Some(promise) {
-            let (within, revisions) = (promise.by.since(now).as_secs(), promise.revisions);
+            let (within, revisions) = (promise.promised_finish.since(now).as_secs(), promise.revisions);
             log::debug!("job {id}: promised to finish within {within:.1} s (revision {revisions})");
         }
     }
 
     /// Returns the accuracy of the forecasts and promises that could be compared with actual times so far.
-    pub fn accuracy(&self) -> ForecastRecord {
-        let (runs, promises) = (self.learner.calibration.overall(), self.promises.tally);
+    pub fn accuracy(&self) -> ForecastAccuracy {
+        let (runs, promises) = (self.learner.calibration.overall(), self.promises.judged);
         let kept = 1.0 - promises.above as f64 / promises.judged.max(1) as f64;
-        ForecastRecord {
+        ForecastAccuracy {
             run_times_judged: runs.judged,
             inside_interval: runs.coverage(),
-            within_quarter: runs.within_quarter_share(),
+            within_quarter: runs.within_quarter_fraction(),
             promises_judged: promises.judged,
             promises_kept: (promises.judged > 0).then_some(kept),
         }
--- a/src/coordination/shard_recovery/loading.rs
+++ b/src/coordination/shard_recovery/loading.rs
@@ -49,7 +49,7 @@
     /// Returns the previous-term record as written by the commit that acquired leadership.
     fn record_of_new_term(&self, context: &AcquisitionContext) -> PreviousTermRecord {
         PreviousTermRecord {
-            limits: context.same_quotas.then(|| self.settings.limits_digest.clone()),
+            quotas_digest: context.same_quotas.then(|| self.settings.quotas_digest.clone()),
             overlap: context.overlap_bounds(),
         }
     }
@@ -57,7 +57,7 @@
     fn new_shard(&self, leadership: LeadershipTerm, context: AcquisitionContext, sent: Time) -> Shard {
         let now = self.now;
         let properties = &self.settings.properties.recovery;
-        let recovery = Recovery::new(now, properties.asks, properties.piecewise);
+        let recovery = Recovery::new(now, properties.max_queries, properties.piecewise);
         let mut shard = Shard::new(leadership, recovery, self.settings.late_factors.clone());
         shard.leadership.leader_lease = LeaderLease::acquired(sent, self.leadership.bounds());
         shard.leadership.overlap = context.leadership_overlap(now);
@@ -84,7 +84,7 @@
         let Some(shard) = self.shard_in_term(leadership) else { return };
         for entry in &page.entries {
             match serde_json::from_value::<LiveRecord>(entry.value.clone()) {
-                Ok(record) if record.decided_in() == shard.id => shard.load_job(record, entry.version),
+                Ok(record) if record.deciding_shard() == shard.id => shard.load_job(record, entry.version),
                 Ok(_) => {}
                 Err(error) => {
                     log::error!("shard {}: job record {} can't be read and is skipped: {error}", shard.id, entry.key);
@@ -182,7 +182,7 @@
         let id = leadership.shard;
         self.directory.set_machine_shard(machine.clone(), record.shard);
         let reconciled_by = self.end_of_inherited_worker_leases(id);
-        let size = self.cloud.room(&record.kind).unwrap_or_default();
+        let size = self.cloud.capacity(&record.kind).unwrap_or_default();
         let Some(shard) = self.shard_in_term(leadership) else { return };
         let is_gone = shard.fleet.stale_machine_records.contains_key(&machine);
         if record.shard == id && !is_gone && !shard.machines.contains_key(&machine) {
@@ -202,7 +202,7 @@
         self.now
             + max_overlap
             + self.worker_lease_grace()
-            + self.settings.worker_lease.stretched()
+            + self.settings.worker_lease.upper_bound_under_drift()
             + WORKER_LEASE_MARGIN
     }
 
--- a/tests/simulation/state_service.rs
+++ b/tests/simulation/state_service.rs
@@ -3,7 +3,7 @@
 use super::{CONTROLLERS, DisabledSafeguard, MS, MaxDelay, Probability, SEC, TemporaryFault};
 use crowstall::model::*;
 use crowstall::protocol::CallError;
-use crowstall::protocol::state::{Change, Condition, Entry, LogEntry, StateAnswer, StateCall};
+use crowstall::protocol::state::{Change, Condition, Entry, StateAnswer, StateCall, WatchedChange};
 use crowstall::storage::rate_limiter::RateLimiter;
 use crowstall::time::Time;
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -80,7 +80,7 @@
     leases: HashMap<u64, Lease>,
     last_lease: u64,
     /// Latest changes, oldest first.
-    log: VecDeque<LogEntry>,
+    log: VecDeque<WatchedChange>,
     /// Revision of the latest change that was removed from the log.
     compacted_until: u64,
     /// Recently deleted entries, for [`DisabledSafeguard::ConsistentReads`].
@@ -125,7 +125,7 @@
     /// Number of requests that concerned keys with the refused prefix.
     pub refused_prefix_requests: u64,
     /// Number of requests refused because of the limits on requests and on writes per second.
-    pub over_limit: u64,
+    pub over_limit_refusals: u64,
     /// Oversized keys, or else the conditions, of the transactions that were rejected because of their size.
     pub rejected_for_size: Vec<String>,
     /// Number of leadership terms that have begun.
@@ -185,7 +185,7 @@
             for key in bound.map(|entry| entry.key.clone()).collect::<Vec<_>>() {
                 self.keys.remove(&key);
                 self.revision += 1;
-                self.append_to_log(LogEntry::Delete { key, version: Revision(self.revision) });
+                self.append_to_log(WatchedChange::Delete { key, version: Revision(self.revision) });
             }
         }
     }
@@ -253,7 +253,7 @@
     /// Refuses requests over the limit on requests per second.
     fn check_request_rate(&mut self, now: u64) -> Result<(), CallError> {
         if self.request_rate.as_mut().is_some_and(|rate| !rate.take(Time(now), 1.0)) {
-            self.over_limit += 1;
+            self.over_limit_refusals += 1;
             return Err(CallError::Refused { over_limit: true });
         }
         Ok(())
@@ -267,7 +267,7 @@
         }
         self.writes.count += call.writes();
         if self.writes.count > self.request_limits.writes_per_second {
-            self.over_limit += 1;
+            self.over_limit_refusals += 1;
             return Err(CallError::Refused { over_limit: true });
         }
         Ok(())
@@ -325,10 +325,10 @@
             WatchBehaviour::Lags => after.0 + u64::from((now / SEC).is_multiple_of(10)),
             _ => self.revision,
         };
-        let is_delivered = |change: &&LogEntry| {
+        let is_delivered = |change: &&WatchedChange| {
             change.key().starts_with(prefix) && change.version() > after && change.version().0 <= until
         };
-        let log: Vec<LogEntry> = self.log.iter().filter(is_delivered).cloned().collect();
+        let log: Vec<WatchedChange> = self.log.iter().filter(is_delivered).cloned().collect();
         self.changes_delivered += log.len() as u64;
         StateAnswer::Changes { log, revision: Revision(until) }
     }
@@ -385,7 +385,7 @@
                 self.set(key.clone(), value, *lease);
             }
             Change::Delete(key) => {
-                self.append_to_log(LogEntry::Delete { key: key.clone(), version: Revision(self.revision) });
+                self.append_to_log(WatchedChange::Delete { key: key.clone(), version: Revision(self.revision) });
                 let removed = self.keys.remove(key);
                 if let Some(entry) = removed.filter(|_| disabled == DisabledSafeguard::ConsistentReads) {
                     self.recently_removed.insert(key.clone(), RemovedEntry { removed_at: now, entry });
@@ -397,12 +397,12 @@
     /// Sets a key at the current revision.
     fn set(&mut self, key: String, value: serde_json::Value, lease: Option<LeaseId>) {
         let version = Revision(self.revision);
-        self.append_to_log(LogEntry::Set { key: key.clone(), value: value.clone(), version });
+        self.append_to_log(WatchedChange::Set { key: key.clone(), value: value.clone(), version });
         self.keys.insert(key.clone(), Entry { key, value, version, lease });
     }
 
     /// Appends a change to the watch's log and removes the oldest changes beyond the maximum length.
-    fn append_to_log(&mut self, change: LogEntry) {
+    fn append_to_log(&mut self, change: WatchedChange) {
         self.log.push_back(change);
         let max_length = match self.watch_behaviour {
             WatchBehaviour::CompactsSoon => SHORT_LOG_LENGTH,
--- a/tests/soak/wire.rs
+++ b/tests/soak/wire.rs
@@ -5,7 +5,7 @@
 use crowstall::model::*;
 use crowstall::protocol::CallError;
 use crowstall::protocol::cloud::{CloudAnswer, CloudCall, ListedMachine, MachineState};
-use crowstall::protocol::state::{Change, Condition, Entry, LogEntry, StateAnswer, StateCall};
+use crowstall::protocol::state::{Change, Condition, Entry, StateAnswer, StateCall, WatchedChange};
 use crowstall::protocol::users::ClientRequest;
 use crowstall::protocol::workers::{Command, Exit, TaskState, TaskStatus, WorkerAnswer, WorkerCall, WorkerHeartbeat};
 use serde_json::{Value, json};
@@ -144,10 +144,10 @@
     json!({"k": entry.key, "data": entry.value, "molt": entry.version.0, "tenure": entry.lease.map(|lease| lease.0)})
 }
 
-fn log_body(entry: &LogEntry) -> Value {
+fn log_body(entry: &WatchedChange) -> Value {
     match entry {
-        LogEntry::Set { key, value, version } => json!({"set": key, "data": value, "molt": version.0}),
-        LogEntry::Delete { key, version } => json!({"delete": key, "molt": version.0}),
+        WatchedChange::Set { key, value, version } => json!({"set": key, "data": value, "molt": version.0}),
+        WatchedChange::Delete { key, version } => json!({"delete": key, "molt": version.0}),
     }
 }
 
@@ -193,8 +193,8 @@
 }
 
 fn machine_type_body(kind: &MachineType) -> Value {
-    json!({"label": kind.name, "cores": in_units(kind.room.cpus), "gpus": in_units(kind.room.gpus),
-        "ram_gb": in_units(kind.room.memory), "cache_gb": kind.cache_gb, "pull_gb_per_s": kind.fetch_gb_per_s,
+    json!({"label": kind.name, "cores": in_units(kind.capacity.cpus), "gpus": in_units(kind.capacity.gpus),
+        "ram_gb": in_units(kind.capacity.memory), "cache_gb": kind.cache_gb, "pull_gb_per_s": kind.fetch_gb_per_s,
         "hourly": kind.price, "spot_price": kind.spot_price, "startup_s": kind.boot.as_secs(), "roosts": kind.zones})
 }
 
