--- a/src/coordination/shard/attempts.rs
+++ b/src/coordination/shard/attempts.rs
@@ -42,8 +42,8 @@
         counted.plus(&self.recovery.max_unreconciled_usage(team, quota, capacity, unknown_jobs))
     }
 
-    /// Adds an attempt to a machine in memory, and to its team's usage unless it is over. It becomes the current
-    /// attempt of its task unless it is to be stopped.
+    /// Adds an attempt to a machine in memory. The attempt counts towards its team's usage unless it is over, and
+    /// becomes the current attempt of its task unless it is to be stopped or its job is unknown.
     pub fn place(&mut self, machine: &MachineId, attempt_number: AttemptNumber, attempt: Attempt) {
         if !attempt.is_over() {
             let usage = self.usage.entry(attempt.team.clone()).or_default();
@@ -143,7 +143,8 @@
         }
     }
 
-    /// Handles the end of the current attempt of a task: the task is completed or becomes pending again.
+    /// Handles the end of the current attempt of a task: the task is completed or becomes pending again, and an exit
+    /// with an error counts as a failure of the job.
     fn finish_current_attempt(&mut self, machine_id: &MachineId, ended: &EndedAttempt, now: Time) {
         let Some(job) = self.jobs.get_mut(&ended.task.job) else { return };
         job.progress.running.remove(&ended.task.task.0);
@@ -176,7 +177,8 @@
         }
         if newly_at_fault {
             log::info!(
-                "job {}: tasks failed on {} machines, {running} are running; backing off",
+                "job {}: tasks failed on {} machines and {running} of its tasks are running; \
+                 considering the job at fault and backing off",
                 ended.task.job,
                 job.failures.machines.len()
             );
--- a/src/coordination/shard/failure_history.rs
+++ b/src/coordination/shard/failure_history.rs
@@ -28,8 +28,8 @@
 pub(in crate::coordination) struct FailureHistory {
     /// Machines on which a task of the job failed, the most recent last.
     pub machines: Vec<MachineFailure>,
-    /// Number of failures since a task of the job last completed, without those of tasks that were started before the
-    /// current backoff.
+    /// Number of failures since a task of the job last completed or the failures were last forgotten. Failures during a
+    /// backoff are not counted.
     counted_failures: u32,
     /// `true` if tasks of the job failed on several machines and none has completed since, so that the job and not the
     /// machines is at fault.
@@ -66,7 +66,7 @@
     }
 
     /// Records that a task of the job failed on a machine while `running` others are still running. Returns `true` if
-    /// this failure is the first to show that the job fails everywhere.
+    /// the job is marked as failing everywhere because of this failure, and was not marked before.
     ///
     /// A faulty job must not be retried on all machines over and over, and a faulty machine must not get tasks of the
     /// same job over and over.
--- a/src/coordination/shard/fleet.rs
+++ b/src/coordination/shard/fleet.rs
@@ -11,7 +11,7 @@
 pub(in crate::coordination) struct FleetState {
     /// Machines that were rented and are not up yet, by id.
     pub booting: BTreeMap<MachineId, BootingMachine>,
-    /// Rental requests without a final answer, by request name.
+    /// Rental requests without a final answer, by idempotency key.
     pub rentals: BTreeMap<String, Rental>,
     /// Machines offered by other shards whose transfer to this shard was requested recently.
     pub requested_offers: BTreeMap<MachineId, RequestedOffer>,
@@ -67,7 +67,8 @@
     Unsent,
     /// The request is in flight.
     InFlight { sent: Time },
-    /// The request had no answer. It is sent again under the same name, so that the cloud rents the machines only once.
+    /// The request had no answer. It is sent again with the same idempotency key, so that the cloud rents the machines
+    /// only once.
     Unanswered { sent: Time },
 }
 
@@ -107,7 +108,7 @@
         self.state = RentalState::InFlight { sent: now };
     }
 
-    /// Records that the call has ended, with or without an answer. A request that is kept after it counts as
+    /// Records that the call has ended, with or without an answer. A request that is not removed afterwards counts as
     /// unanswered.
     pub fn call_ended(&mut self) {
         if let RentalState::InFlight { sent } = self.state {
--- a/src/coordination/shard/job.rs
+++ b/src/coordination/shard/job.rs
@@ -82,7 +82,8 @@
     /// Time from which the job's first pending task has been skipped while tasks of other jobs were started. `None` if
     /// it has not been skipped.
     pub skipped_since: Option<Time>,
-    /// Time from which the job has had pending tasks without a break.
+    /// Time from which the job has had pending tasks without a break, as far as this leader knows: for a job read from
+    /// its record, the count starts when leadership was acquired.
     pub waiting_since: Time,
     /// Machine that is reserved for the job's next task because that task has waited too long.
     pub reservation: Option<Reservation>,
@@ -266,7 +267,7 @@
     /// The watermark is ahead of the next pending task, so that no start has to wait for a write of the record, but not
     /// far, since after a failover all tasks below the watermark have to be searched for. Once the next pending task is
     /// within half of [`START_WATERMARK_LOOKAHEAD`] of the recorded watermark, the watermark rises to twice
-    /// `START_WATERMARK_LOOKAHEAD` beyond that task.
+    /// `START_WATERMARK_LOOKAHEAD` beyond that task, but at most to the number of tasks.
     pub fn wanted_start_watermark(&self) -> u32 {
         match self.progress.pending.first() {
             Some(next) if next + START_WATERMARK_LOOKAHEAD / 2 >= self.record.start_watermark => {
--- a/src/coordination/shard/job_record.rs
+++ b/src/coordination/shard/job_record.rs
@@ -20,11 +20,12 @@
     pub fails_everywhere: bool,
     /// `true` while a read or write of the record is in flight.
     pub call_in_flight: bool,
-    /// `true` while the outcome of a call is in doubt, so that the record has to be read again.
+    /// `true` while the outcome of a call is in doubt, or the record is not as expected, so that it has to be read
+    /// again.
     pub outcome_unknown: bool,
-    /// `true` while a write of the final record is in doubt: it had no answer, and had not been executed when the
-    /// record was read. The write may still be executed until the record has a new version, and other controllers may
-    /// then report the end of the job to users.
+    /// `true` while a write of the final record is in doubt because it had no conclusive answer. Even if the live
+    /// record was found when it was read again, the write may still be executed until that record has a new version,
+    /// and other controllers may then report the end of the job to users.
     pub final_write_in_doubt: bool,
     /// `true` if a write was refused, and thus not executed, since the final record was last sent.
     pub write_refused: bool,
@@ -88,8 +89,9 @@
     }
 
     /// Returns `true` if the next call for the record has to wait: one is in flight, or the last one was sent less than
-    /// `interval` ago. The interval does not apply to a final record that was only deferred by the rate limit, without
-    /// being refused or left in doubt.
+    /// `interval` ago. The interval does not apply to the final record of an ending job (`is_ending`) unless a write
+    /// was refused or is in doubt: a final record that was only deferred, for example by the rate limit, need not wait
+    /// for the interval as well.
     pub fn must_wait(&self, is_ending: bool, interval: Span, now: Time) -> bool {
         let recent = now.since(self.last_call_at) < interval;
         self.call_in_flight || recent && (!is_ending || self.outcome_unknown || self.write_refused)
--- a/src/coordination/shard/machine.rs
+++ b/src/coordination/shard/machine.rs
@@ -70,8 +70,9 @@
     pub token: FencingToken,
     /// Number of the newest heartbeat that was handled.
     pub last_heartbeat: HeartbeatNumber,
-    /// Time at which a heartbeat of the machine was last answered with 200. The worker lease starts no later than that.
-    /// `None` if this leader has not answered any.
+    /// Time at which a heartbeat of the machine was last answered with 200, or at which the machine was reconciled by a
+    /// direct call, since the leader that answered before may have granted a worker lease until then. The worker lease
+    /// starts no later than that. `None` if neither has happened under this leader.
     pub last_answered_at: Option<Time>,
     /// `true` if all attempts on the machine are known: it has sent a heartbeat under the current fencing token, or no
     /// attempt can have been running on it before.
@@ -109,7 +110,7 @@
     pub probe_in_flight: bool,
     /// Time at which another controller last relayed a heartbeat of the machine. `None` if none was relayed.
     pub relayed_at: Option<Time>,
-    /// Number of direct calls without an answer since the machine was last heard from.
+    /// Number of direct calls without an answer since a message from the machine last arrived.
     pub unanswered_calls: u32,
     /// `true` once the cloud's machine list has contained the machine, so that the machine can be returned.
     pub listed: bool,
@@ -245,8 +246,9 @@
             && now >= self.quarantined_until
     }
 
-    /// Returns the evidence in a newer heartbeat that the machine did or did not receive the previous answer: attempts
-    /// that were sent in it, or else a newer fencing token.
+    /// Returns the evidence in a newer heartbeat that the machine did or did not receive the answer to its previous
+    /// heartbeat. If attempts were sent in that answer, the heartbeat has to report at least one of them. Otherwise the
+    /// answer counts as missing if the machine still has an older fencing token although this leader has answered it.
     pub fn answer_evidence(&self, heartbeat: &WorkerHeartbeat) -> AnswerEvidence {
         let just_sent = |attempt: &Attempt| attempt.state.is_none() && attempt.sent_in == self.last_heartbeat;
         let mut sent = self
--- a/src/coordination/shard/mod.rs
+++ b/src/coordination/shard/mod.rs
@@ -35,14 +35,14 @@
 use std::net::SocketAddrV4;
 use std::sync::Arc;
 
-/// Quantity that exceeds the capacity of any machine, yet can be summed over all machines without overflow.
+/// Quantity that exceeds the capacity of any machine, yet can be added up 2^24 times without overflow.
 const UNBOUNDED: Quantity = Quantity(u64::MAX >> 24);
 
 /// Number of tasks that the start watermark in a job's first record covers. Later records extend the watermark in
 /// proportion to this number, as described at [`Job::wanted_start_watermark`].
 pub(super) const START_WATERMARK_LOOKAHEAD: u32 = 256;
 
-/// Maximum age of a machine's last heartbeat for the machine to be offered to other shards.
+/// Time since the last message from a machine from which on the machine is not offered to other shards.
 const MAX_OFFERED_SILENCE: Span = Span::millis(4000);
 
 /// Reciprocal of the largest fraction of machines that may be excluded from placement for answer loss: if more than one
@@ -109,7 +109,8 @@
 /// Progress of reading the records of a shard.
 #[derive(Default)]
 pub(super) struct LoadingState {
-    /// Time at which the last record was read. `None` while records are still being read.
+    /// Time at which the last record was read, or at which a later long pause of this process was detected. A
+    /// leadership check sent after this time has to confirm the term. `None` while records are still being read.
     pub read_at: Option<Time>,
     /// Time until which loading waits for the local replica to be synced with the term. `None` if it does not wait.
     pub replica_wait_until: Option<Time>,
@@ -312,7 +313,8 @@
         self.machines.insert(id, machine);
     }
 
-    /// Adds a machine whose record was written in this leadership term, so that no former leader has used it.
+    /// Adds a machine whose record was written in this leadership term. It counts as reconciled, since no former leader
+    /// of the shard can have started attempts on it.
     pub fn add_machine(
         &mut self,
         id: MachineId,
