--- a/src/coordination/confirmation.rs
+++ b/src/coordination/confirmation.rs
@@ -1,6 +1,6 @@
 //! Confirmation of this node's leadership terms, and the answers that are deferred until their term is confirmed.
 //!
-//! An answer received under a term is used only after a later request has confirmed that the term was still in force.
+//! An answer received under a term is used only after a request sent later has confirmed that the term was in force.
 //! Otherwise the shard might already have had another leader, and the records that were read might be that leader's.
 
 use super::controller::Controller;
@@ -183,7 +183,8 @@
     }
 
     /// Renews the leader lease after a request sent at `sent` has confirmed the term of a shard, and resumes the
-    /// deferred answers that had arrived by then. Starts to serve the shard if it is ready.
+    /// deferred answers that had arrived by `sent`. Starts to serve the shard if it is ready, and sends another
+    /// leadership check if answers remain deferred.
     pub(super) fn leadership_confirmed(&mut self, leadership: LeadershipTerm, sent: Time) {
         let id = leadership.shard;
         let Some(shard) = self.shard_in_term(leadership) else { return };
--- a/src/coordination/job_persistence/mod.rs
+++ b/src/coordination/job_persistence/mod.rs
@@ -19,7 +19,7 @@
     WriteProgress(RecordedProgress),
     /// Replaces the live record with the final record of this state.
     WriteFinal(FinalState),
-    /// Reads the live record, since the outcome of a call is in doubt.
+    /// Reads the live record, since the outcome of a call is in doubt or the record is not as expected.
     ReadLive,
     /// Reads the final record, since the live record no longer exists.
     ReadFinal,
@@ -49,7 +49,8 @@
 
 /// Jobs of a shard whose records have to be read or written. Each list is in the order in which the calls are sent.
 struct DueRecords {
-    /// Jobs with a call whose outcome is in doubt.
+    /// Jobs whose record has to be read again, since the outcome of a call is in doubt or the record is not as
+    /// expected.
     in_doubt: Vec<JobId>,
     /// Jobs whose final record has to be written.
     ending: Vec<JobId>,
@@ -137,8 +138,8 @@
         self.reply_to_all(requesters, Reply::busy(BusyReason::StateUnreachable));
     }
 
-    /// Marks the outcome of a call for a job's record as in doubt, so that the record is read again. The cancellation
-    /// requesters of the job get a busy reply.
+    /// Handles a call for a job's record that had no conclusive answer, or whose answer shows that the record is not as
+    /// expected: the record has to be read again, and the cancellation requesters of the job get a busy reply.
     fn job_call_unanswered(&mut self, shard_id: ShardId, id: &JobId, is_final_write: bool) {
         let Some(job) = self.job_mut(shard_id, id) else { return };
         job.record.outcome_unknown = true;
--- a/src/coordination/job_persistence/unknown_outcome.rs
+++ b/src/coordination/job_persistence/unknown_outcome.rs
@@ -1,4 +1,5 @@
-//! Reads that settle the outcome of a write of a job's record that had no answer.
+//! Reads of a job's record after a write that had no conclusive answer, or that showed that the record is not as
+//! expected.
 
 use super::JobRecordOperation;
 use crate::coordination::controller::Controller;
@@ -19,7 +20,7 @@
         }
     }
 
-    /// Reads the live record of a job, since the outcome of a write is in doubt.
+    /// Reads the live record of a job, since the outcome of a write is in doubt or the record is not as expected.
     fn read_live_record(&mut self, shard_id: ShardId, id: &JobId) {
         let now = self.now;
         let Some(shard) = self.shards.get_mut(&shard_id) else { return };
@@ -45,7 +46,7 @@
             Ok(record) => record,
             Err(error) => {
                 return log::error!(
-                    "job {id}: live record can't be read: {error}; the outcome of its last write stays in doubt"
+                    "job {id}: live record can't be read: {error}; not writing the record, reading it again later"
                 );
             }
         };
--- a/src/coordination/replica.rs
+++ b/src/coordination/replica.rs
@@ -233,7 +233,8 @@
         self.shards.values().any(|shard| shard.loading.replica_wait_until.is_some())
     }
 
-    /// Sends the requests for the replica that are due and admitted.
+    /// Sends the requests for the replica that are due. At the regular interval, requests are sent only if admitted;
+    /// requests that a shard waits for are sent in any case.
     fn poll_replica(&mut self, timing: PollTiming) {
         if timing == PollTiming::WhenDue && !self.admits(TrafficClass::BackgroundRead) {
             return;
