--- a/crates/leadership/src/failure_detector.rs
+++ b/crates/leadership/src/failure_detector.rs
@@ -33,7 +33,7 @@
 impl fmt::Display for FailureEvidence {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            FailureEvidence::Silence => "no heartbeat, liveness record change or probe answer",
+            FailureEvidence::Silence => "probe not answered, and no heartbeat or liveness record change",
             FailureEvidence::StateServiceLost => "the leader reports no answer from the state service",
         })
     }
@@ -78,7 +78,7 @@
         self.last_state_answer = Some(now);
     }
 
-    /// Returns the time since the state service last answered this node.
+    /// Returns the time since the state service last answered this node, or since time zero if it never has.
     pub fn state_silence(&self, now: Time) -> Span {
         now.since(self.last_state_answer.unwrap_or_default())
     }
@@ -137,7 +137,7 @@
         self.mean_deviation += (error.abs() - self.mean_deviation) / 4.0;
     }
 
-    /// Returns the shortest silence that deviates from the estimated interval.
+    /// Returns the silence above which a leader is unusually late: twice the mean interval plus four mean deviations.
     fn unusual_silence(&self) -> Span {
         Span((2.0 * self.mean + 4.0 * self.mean_deviation) as u64)
     }
--- a/crates/leadership/src/membership.rs
+++ b/crates/leadership/src/membership.rs
@@ -40,7 +40,7 @@
 pub struct Peer {
     /// Arrival time of the peer's newest heartbeat.
     pub last_heartbeat_at: Time,
-    /// Time since which the peer has been ready without interruption; `None` if it is not ready.
+    /// Time since which the peer has been ready and reachable without interruption; `None` if it is not ready.
     pub ready_since: Option<Time>,
     /// State that the peer reported in its newest heartbeat.
     pub peer_status: PeerStatus,
@@ -101,7 +101,7 @@
         self.false_suspicion_times.iter().filter(|at| now.since(**at) < FALSE_SUSPICION_MEMORY).count() as u32
     }
 
-    /// Records that the shard was led in `term`. Returns `true` if no term as new as this one was known before.
+    /// Records that the shard was led in `term`. Returns `true` if the term is newer than all known before.
     fn record_term(&mut self, term: Revision, now: Time) -> bool {
         self.absent_since = None;
         let is_newer = term > self.term;
@@ -248,7 +248,7 @@
         }
     }
 
-    /// Records that a version of the liveness record of a shard's leader was read.
+    /// Records that a version of the liveness record of a shard's leader was read, or written by this node.
     pub fn record_liveness(&mut self, shard: ShardId, version: Revision, now: Time) {
         if let Some(leadership) = self.leadership_mut(shard)
             && leadership.liveness.is_none_or(|known| known.version < version)
--- a/crates/leadership/src/overlap.rs
+++ b/crates/leadership/src/overlap.rs
@@ -16,7 +16,8 @@
 pub struct LeadershipOverlap {
     since: Time,
     bounds: LeadershipBounds,
-    /// The deposed leader; `None` if a former leader made the replacement, because it is not known then.
+    /// Deposed leader; `None` if a former leader made the replacement, since this node does not know the deposed leader
+    /// then.
     deposed: Option<NodeIncarnation>,
     /// `true` once the deposed leader has reported that it knows of its replacement.
     ended_early: bool,
--- a/src/coordination/leadership/failure_detection.rs
+++ b/src/coordination/leadership/failure_detection.rs
@@ -98,7 +98,8 @@
         self.leadership.failure_detection.probe_answered(call, alive);
     }
 
-    /// Checks the leaders of all shards, and probes or fences those that seem to have failed.
+    /// Checks the peers that lead a shard, and probes or fences those that seem to have failed. Does nothing while this
+    /// node has no valid lease or is in its acquisition backoff.
     pub(super) fn check_leaders(&mut self) {
         if !self.holds_lease() || self.backs_off_acquisition() {
             return;
--- a/src/coordination/leadership/isolation.rs
+++ b/src/coordination/leadership/isolation.rs
@@ -58,7 +58,7 @@
         self.leadership.acquisition_backoff.is_active(self.now)
     }
 
-    /// Releases the shards whose workers' heartbeats do not reach this node while no peer is reachable either.
+    /// Releases the shards from whose workers no message arrives while no peer is reachable either.
     ///
     /// A node on the workers' side of such a partition can serve them. The isolated node cannot, although it could
     /// renew its node lease indefinitely and so keep its leadership. After the release it acquires no leadership until
@@ -80,7 +80,8 @@
         }
     }
 
-    /// Returns the shards that have workers, none of which has sent a heartbeat recently.
+    /// Returns the served shards that have workers, from none of which a message has arrived recently. Shards whose
+    /// leadership this node is acquiring or releasing are left out.
     fn shards_with_silent_workers(&self) -> Vec<ShardId> {
         let heartbeats = self.settings.heartbeat_interval.times(MISSED_HEARTBEATS);
         let timeout = heartbeats.max(self.settings.worker_lease.times(SILENCE_FRACTION_OF_WORKER_LEASE));
--- a/src/coordination/leadership/leader_poll.rs
+++ b/src/coordination/leadership/leader_poll.rs
@@ -15,14 +15,15 @@
 
 /// Time for which a shard that has never had a leader is left to its preferred leader.
 const FIRST_LEADER_WAIT: Span = Span::millis(3000);
-/// Time after its release for which a shard is left to the node to which it was handed over.
+/// Time for which a shard that this node has released is left to other nodes, such as the one to which it was handed
+/// over.
 const HAND_OVER_WAIT: Span = Span::millis(3000);
 /// Time for which a shard without a leader is left to its preferred leader if that node is ready.
 const PREFERRED_LEADER_WAIT: Span = Span::millis(1500);
 /// Additional time that a node waits per rank in the order of preference before it acquires a shard.
 const WAIT_PER_RANK: Span = Span::millis(300);
-/// Number of ranks added to a node's rank for each shard that it leads beyond the first, so that nodes with fewer shards
-/// acquire a shard earlier.
+/// Number of ranks added to a node's rank for each shard that it leads beyond the first, so that nodes with fewer
+/// shards acquire a shard earlier.
 const RANKS_PER_LED_SHARD: u64 = 2;
 
 /// Schedule of the polls of the leadership records.
@@ -103,9 +104,10 @@
         }
     }
 
-    /// Processes the leadership record of a shard, read by a request that was sent at `sent`. Steps down if the record
-    /// contains a newer term, and reacquires leadership if this node does not lead the shard that the record assigns to
-    /// it.
+    /// Processes the leadership record of a shard, read by a request that was sent at `sent`. Confirms this node's term
+    /// if the record still contains it, steps down if the record contains a newer term, and reacquires leadership if
+    /// the record names this node as the leader although it does not lead the shard. A record of an older term than the
+    /// newest known one is ignored.
     pub(in crate::coordination) fn leadership_record_seen(&mut self, id: ShardId, entry: &Entry, sent: Time) {
         let Ok(record) = serde_json::from_value::<ShardRecord>(entry.value.clone()) else { return };
         if self.membership.leadership(id).is_some_and(|leadership| entry.version < leadership.term) {
@@ -168,8 +170,8 @@
         }
     }
 
-    /// Returns `true` if this node has released a shard so recently that the shard is left to the node to which it was
-    /// handed over.
+    /// Returns `true` if this node has released a shard so recently that the shard is left to other nodes, such as the
+    /// one to which it was handed over.
     fn is_handed_over(&self, id: ShardId) -> bool {
         let released_at = self.membership.leadership(id).and_then(|leadership| leadership.released_at);
         released_at.is_some_and(|released_at| self.now.since(released_at) < HAND_OVER_WAIT)
--- a/src/coordination/leadership/mod.rs
+++ b/src/coordination/leadership/mod.rs
@@ -65,7 +65,8 @@
     previous_terms: PreviousTerms,
     /// Period in which this node acquires no leadership because it has stepped down in isolation.
     acquisition_backoff: AcquisitionBackoff,
-    /// Longest pause of this process since it last requested leadership.
+    /// Longest pause of this process since it last requested leadership, or since a long pause last made a readiness
+    /// check fail.
     pauses: PauseMonitor,
     /// Failure detectors of the peers.
     failure_detection: FailureDetection,
@@ -150,8 +151,8 @@
         self.send_peer_heartbeat_if_due();
     }
 
-    /// Checks this node's terms if answers wait for it, writes the liveness record if it is due, and replaces failed
-    /// leaders.
+    /// Records the tick and the pause before it. Unless early replacement is disabled, also sends leadership checks for
+    /// deferred answers, writes the liveness record if it is due, and replaces failed leaders.
     pub(super) fn failover_tick(&mut self, time_since_last_tick: Span) {
         self.leadership.failure_detection.ticked(self.now);
         self.leadership.pauses.record(time_since_last_tick);
--- a/src/coordination/leadership/peer_heartbeats.rs
+++ b/src/coordination/leadership/peer_heartbeats.rs
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Returns the machines that this node's shards have rented and that have not started yet, with their shards.
+    /// Returns the machines that this node's shards have rented and that are not up yet, with their shards.
     fn rented_machines(&self) -> Vec<(MachineId, ShardId)> {
         let rented = |shard: ShardId, machine: &MachineId| (machine.clone(), shard);
         let shards = self.shards.values();
--- a/src/coordination/leadership/readiness.rs
+++ b/src/coordination/leadership/readiness.rs
@@ -7,7 +7,8 @@
 use crate::time::{Span, Time};
 use crowstall_leadership::{Check, ReadinessFacts};
 
-/// Monitor of the longest pause of this process since it last requested leadership of a shard.
+/// Monitor of the longest pause of this process since it last requested leadership of a shard, or since a long pause
+/// last made a readiness check fail.
 #[derive(Default)]
 pub(super) struct PauseMonitor {
     longest: Span,
@@ -26,8 +27,9 @@
 }
 
 impl Controller {
-    /// Returns `true` if all required checks before the first decision of a term are passed. Otherwise the outstanding
-    /// checks are logged and leadership is checked again, because most of them wait for a confirmation of the term.
+    /// Returns `true` if the records of the shard have been read and all required checks before the first decision of a
+    /// term are passed. If checks are outstanding, they are logged and a leadership check is sent, because most of them
+    /// wait for a confirmation of the term.
     pub(in crate::coordination) fn is_ready_to_decide(&mut self, id: ShardId) -> bool {
         let Some(outstanding) = self.outstanding_checks(id) else { return false };
         if outstanding.is_empty() {
