--- a/src/coordination/shard/mod.rs
+++ b/src/coordination/shard/mod.rs
@@ -116,7 +116,8 @@
     pub replica_wait_until: Option<Time>,
     /// `true` if reading failed and has to start again.
     pub retry: bool,
-    /// Heartbeats that arrived while the records were being read. They are handled once the shard is served.
+    /// Heartbeats that arrived while the records were being read. They are handled once the shard is served, or get a
+    /// busy reply if this node steps down before.
     pub early_heartbeats: Vec<EarlyHeartbeat>,
 }
 
