--- a/crates/leadership/tests/leadership_model.rs
+++ b/crates/leadership/tests/leadership_model.rs
@@ -381,8 +381,8 @@
         }
     }
 
-    /// Adds the old leader's answer to a machine's heartbeat, which renews the worker lease, accepts a completion, stops
-    /// a task whose cancellation was requested, and may start a task.
+    /// Adds the old leader's answer to a machine's heartbeat, which renews the worker lease, accepts a completion,
+    /// stops a task whose cancellation was requested, and may start a task.
     fn old_leader_heartbeat_steps(&self, index: usize, guards: Guards, next: &mut Vec<State>) {
         let machine = self.machines[index];
         if !machine.exists || machine.knows_new_token || !self.old_may_renew_worker_leases(guards) {
