--- a/src/coordination/placement/binding.rs
+++ b/src/coordination/placement/binding.rs
@@ -61,7 +61,8 @@
 
 impl Shard {
     /// Binds the first tasks of the queue that fit to the machine whose heartbeat is being answered, and returns the
-    /// commands that start them. `counter` is this node's counter of attempts and becomes part of each attempt number.
+    /// commands that start them. `counter` is this process's counter of attempts and rentals, which becomes part of
+    /// each attempt number.
     pub fn bind(
         &mut self,
         machine_id: &MachineId,
--- a/src/coordination/placement/preemption.rs
+++ b/src/coordination/placement/preemption.rs
@@ -71,8 +71,8 @@
 
 impl Shard {
     /// Chooses attempts to be stopped so that waiting tasks of higher priority can be placed, and marks them as to be
-    /// stopped. For each task the machine with the best placement score is used, and on it the youngest attempts are
-    /// stopped, so that little work is lost.
+    /// stopped. For each task that fits nowhere, the machine with the best placement score is used, and on it the
+    /// youngest attempts are stopped, so that little work is lost.
     pub fn preempt(&mut self, context: &PlacementContext) -> Vec<Preemption> {
         let mut preemptions = Vec::new();
         let queue = self.preempting_jobs(context);
@@ -86,11 +86,11 @@
         preemptions
     }
 
-    /// Returns the jobs with a task to start whose own priority is higher than that of some running job, in queue
-    /// order.
+    /// Returns the jobs with a task to start whose own priority is higher than the priority of some job with a running
+    /// task, in queue order.
     ///
-    /// Inherited urgency does not count: a job that inherits urgency from dependent jobs goes first in the queue but
-    /// preempts nothing. Otherwise whole job arrays would stop other whole job arrays.
+    /// The urgency that a waiting job inherits from dependent jobs does not count: such a job goes first in the queue
+    /// but preempts nothing. Otherwise whole job arrays would stop other whole job arrays.
     fn preempting_jobs(&mut self, context: &PlacementContext) -> Vec<JobId> {
         let running = self.jobs.values().filter(|job| !job.progress.running.is_empty());
         let Some(least_urgent) = running.map(Job::priority).max() else { return Vec::new() };
--- a/src/coordination/placement/queue_order.rs
+++ b/src/coordination/placement/queue_order.rs
@@ -129,8 +129,8 @@
 }
 
 impl<'a> QueueCandidate<'a> {
-    /// Returns the job as a candidate, given that its team uses `used`. `None` if the team's quota is used up and the
-    /// job is not starved: such a job is left out before any machine is compared with its needs.
+    /// Returns the job as a candidate, given that its team uses `used`. `None` if the team's quota does not allow one
+    /// more task and the job is not starved: such a job is left out before any machine is compared with its needs.
     fn of(job: &'a Job, used: &Resources, context: &PlacementContext) -> Option<QueueCandidate<'a>> {
         let (settings, wall_clock_ms) = (context.settings, context.wall_clock_ms);
         let quota_allows = job.is_within_quota(used, settings);
--- a/src/coordination/placement/score.rs
+++ b/src/coordination/placement/score.rs
@@ -9,8 +9,8 @@
 /// Number of heartbeat intervals for which a task waits for the heartbeat of a better machine.
 const BETTER_MACHINE_WAIT_INTERVALS: f64 = 1.5;
 
-/// Minimum ratio of the class's start objective to that wait, for a task to wait for any better machine. Below it, a
-/// task waits only for a machine that has its image.
+/// Minimum ratio of the class's start objective to the wait of [`BETTER_MACHINE_WAIT_INTERVALS`] for a task to wait for
+/// any better machine. Below this ratio, a task waits only for a machine that has its image.
 const WAITS_WITHIN_START_OBJECTIVE: f64 = 2.0;
 
 /// Suitability of a machine for a task. Scores compare by their fields from first to last; the least is the best.
@@ -31,7 +31,7 @@
 /// Machines that are worth waiting for instead of starting a task at once.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum WorthWaitingFor {
-    /// Any machine with a better score. Used if the class's start objective leaves enough time.
+    /// Any machine with a better score. Used if the class has no start objective or one that leaves enough time.
     BetterScore,
     /// Machine that has the image: its heartbeat is expected before the current machine could have fetched the image.
     Image,
--- a/src/coordination/placement/urgency.rs
+++ b/src/coordination/placement/urgency.rs
@@ -10,11 +10,12 @@
 const STARVATION_SKIP_LIMITS: f64 = 1.5;
 
 impl Job {
-    /// Returns the next task that may be started. `None` while the job is not live or is in backoff after failures, or
-    /// if it has no pending task below the start watermark of its record.
+    /// Returns the next task that may be started. `None` while the job is not live or is in backoff after failures,
+    /// while a job array that fails everywhere has a running task, or if the job has no pending task below the start
+    /// watermark of its record.
     pub fn next_task(&self, now: Time) -> Option<u32> {
         let task = self.progress.pending.first().filter(|task| *task < self.record.start_watermark)?;
-        // A job that fails everywhere runs one task at a time until one completes.
+        // A job array that fails everywhere runs one task at a time until one completes.
         let may_try_another =
             !self.failures.fails_everywhere || self.spec.kind == JobKind::Service || self.progress.running.is_empty();
         (self.is_live() && may_try_another && now >= self.failures.backoff_until).then_some(task)
@@ -56,9 +57,9 @@
         self.time_left_s(settings, wall_clock_ms).map_or(u64::MAX, |seconds| (seconds * 1e3) as u64)
     }
 
-    /// Returns `true` if the job is starved: no task of it runs, and the job became ready longer ago than
-    /// [`STARVATION_SKIP_LIMITS`] times the skip limit. Its next task then goes before all others of the same queue
-    /// priority, so that every job starts eventually, however many jobs are more urgent.
+    /// Returns `true` if the job is starved: no task of it runs, it does not fail everywhere, and it became ready
+    /// longer ago than [`STARVATION_SKIP_LIMITS`] times the skip limit. Its next task then goes before all others of
+    /// the same queue priority, so that every job starts eventually, however many jobs are more urgent.
     pub fn is_starved(&self, settings: &Settings, wall_clock_ms: u64) -> bool {
         let waited = Span::millis(wall_clock_ms.saturating_sub(self.ready_ms));
         // A job that fails everywhere has no running task because of its own failures, not for lack of resources.
--- a/src/coordination/scale_out/demand.rs
+++ b/src/coordination/scale_out/demand.rs
@@ -61,8 +61,9 @@
         demands
     }
 
-    /// Returns the demand of one job, or `None` if it needs no further room. `team_usage` holds the resources that more
-    /// urgent jobs of the team use of its quota; those of this job are added to it.
+    /// Returns the demand of one job, or `None` if it needs no further room or its team's quota allows none.
+    /// `team_usage` holds the resources that more urgent jobs of the team use of its quota; those of this job are added
+    /// to it.
     fn job_demand(&self, job: &Job, team_usage: &mut Resources) -> Option<Demand> {
         let fails_everywhere = job.failures.fails_everywhere;
         let running = job.progress.running.len() as u32;
