--- a/src/coordination/forwarding.rs
+++ b/src/coordination/forwarding.rs
@@ -32,9 +32,10 @@
 
 /// Kind of a forwarded request, with what is needed to answer it if the leader cannot.
 enum ForwardedKind {
-    /// Submission. If the leader does not accept the job, this node tries to accept it.
+    /// Submission. If the leader does not answer or answers with status 503, this node tries to accept the job.
     Submission(Box<JobSpec>),
-    /// Poll of a job's state. If the leader does not answer, the job's record is read instead.
+    /// Poll of a job's state. If the leader does not answer or answers with status 503, the job's record is read
+    /// instead.
     Poll(JobId),
     /// Request about a job that only the leader can answer.
     LeaderOnly(JobId),
@@ -98,7 +99,7 @@
     }
 
     /// Passes the leader's reply to a forwarded request to the client. If the leader is not able to answer a submission
-    /// or a poll (status 503), this node answers it from the records instead.
+    /// or a poll (status 503), this node tries to accept the job itself or reads the job's record instead.
     pub(super) fn forwarded_request_answered(&mut self, number: u64, reply: Reply) {
         let Some(forwarded) = self.forwarded.pending.remove(&number) else { return };
         let requester = Requester::Local(forwarded.client_request);
@@ -113,8 +114,8 @@
         }
     }
 
-    /// Answers the forwarded requests that have timed out: submissions and polls from the records, others with a
-    /// refusal or a redirect.
+    /// Handles the forwarded requests that have timed out: tries to accept the submitted jobs on this node, answers
+    /// polls from the jobs' records, refuses other requests of users, and redirects workers.
     pub(super) fn expire_forwarded_requests(&mut self) {
         let now = self.now;
         let expired = self.forwarded.pending.extract_if(.., |_, forwarded| forwarded.deadline <= now);
--- a/src/coordination/machine_transfer.rs
+++ b/src/coordination/machine_transfer.rs
@@ -65,7 +65,8 @@
         offers
     }
 
-    /// Returns the resources of an offered machine, or `None` if no task of the job may run there or fits.
+    /// Returns the resources of an offered machine, or `None` if its type is unknown, the job may not run there, or no
+    /// task of the job fits.
     fn usable_capacity(&self, offer: &MachineOffer, spec: &JobSpec) -> Option<Resources> {
         let capacity = self.cloud.machine_type(&offer.kind)?.capacity;
         let is_usable = spec.allows(&offer.kind, &offer.zone, offer.spot) && capacity.slots(&spec.needs) > 0;
@@ -180,7 +181,8 @@
         }
     }
 
-    /// Reads the record of a machine that was transferred to a shard, if this node leads the shard.
+    /// Records that a machine was transferred to a shard. Reads the machine's record if this node leads the shard and
+    /// has loaded it.
     pub(super) fn machine_transferred_here(&mut self, machine: MachineId, to: ShardId) {
         self.directory.set_machine_shard(machine.clone(), to);
         let Some(shard) = self.shards.get_mut(&to).filter(|shard| shard.is_active()) else { return };
--- a/src/coordination/relay.rs
+++ b/src/coordination/relay.rs
@@ -78,7 +78,7 @@
     ///
     /// Relaying needs no leadership change, works for one machine as well as for all of them, and ends by itself: at
     /// the end of each relay period the worker is redirected to the leader again, and each period is longer than the
-    /// last.
+    /// last, up to [`MAX_RELAY_PERIOD`]. A worker that could not be back before its lease expires is not redirected.
     pub(super) fn redirect_or_relay(&mut self, requester: Requester, shard: ShardId, heartbeat: Box<WorkerHeartbeat>) {
         if matches!(requester, Requester::Peer { .. }) {
             return self.reply(requester, Reply::busy(BusyReason::NotLeader));
@@ -115,7 +115,10 @@
             }
             return is_redirected;
         }
-        log::debug!("machine {machine}: worker does not reach the leader of shard {shard}; beginning a relay");
+        log::debug!(
+            "machine {machine}: worker has the fencing token of the leader of shard {shard} but sent its heartbeat \
+             here; beginning a relay"
+        );
         self.relays.by_machine.insert(machine.clone(), Relay::new(term, now));
         // While the term is new, the worker may have got its token from a direct call of the leader.
         let term_age =
--- a/src/coordination/scale_in/deletion.rs
+++ b/src/coordination/scale_in/deletion.rs
@@ -84,7 +84,7 @@
     fn machine_deleted(&mut self, id: ShardId, machine: &MachineId) {
         let now = self.now;
         let Some(shard) = self.shards.get_mut(&id) else { return };
-        log::info!("machine {machine}: deleted by the cloud; removing it from shard {id}");
+        log::info!("machine {machine}: the cloud confirmed its deletion; removing it from shard {id}");
         shard.fleet.booting.remove(machine);
         if shard.machines.contains_key(machine) {
             shard.remove_all_attempts(machine, now);
--- a/src/coordination/worker_heartbeats/graceful_eviction.rs
+++ b/src/coordination/worker_heartbeats/graceful_eviction.rs
@@ -1,5 +1,5 @@
 //! Graceful eviction: stops tasks early enough to save their checkpoints when the cloud has announced that it will
-//! take their spot machine away.
+//! reclaim their spot machine.
 
 use super::super::placement::PlacementContext;
 use super::super::shard::{Attempt, Job, Shard};
@@ -13,8 +13,8 @@
 const STOP_MARGIN_S: f64 = 1.0;
 
 impl Shard {
-    /// Marks the attempts that must be stopped now on a machine that the cloud is about to take away. Does nothing if
-    /// the cloud has announced nothing for the machine.
+    /// Marks the attempts that must be stopped now on a machine that the cloud is about to reclaim. Does nothing if
+    /// there is no reclaim notice for the machine.
     pub(super) fn plan_graceful_eviction(&mut self, id: &MachineId, context: &PlacementContext) {
         let Some(machine) = self.machines.get_mut(id) else { return };
         let Some(reclaim_at) = machine.reclaim_at else { return };
@@ -31,16 +31,16 @@
 }
 
 /// Returns the seconds that an attempt gets for saving its checkpoint if it must be stopped now, or `None` if it goes
-/// on. The machine is taken away in `remaining_s` seconds.
+/// on. The cloud reclaims the machine in `remaining_s` seconds.
 fn eviction_grace_s(job: &Job, attempt: &Attempt, remaining_s: f64, context: &PlacementContext) -> Option<f64> {
     let has_checkpoints = job.spec.checkpoint_s > 0.0;
     if job.spec.kind == JobKind::Service {
-        // The replacement is needed at once, and work done until the machine is taken away would be lost.
+        // The replacement is needed at once, and work done until the machine is reclaimed would be lost.
         return Some(if has_checkpoints { job.spec.save_s } else { 0.0 });
     }
     let ran_s = attempt.running_since.map_or(0.0, |since| context.now.since(since).as_secs());
     if !has_checkpoints || job.run_time() - ran_s < remaining_s - job.spec.save_s {
-        // Either there is no checkpoint to save, or the task may complete before the machine is taken away.
+        // Either there is no checkpoint to save, or the task may complete before the machine is reclaimed.
         return None;
     }
     let margin_s = COMMAND_DELAY_INTERVALS * context.settings.heartbeat_interval.as_secs() + STOP_MARGIN_S;
--- a/src/coordination/worker_heartbeats/mod.rs
+++ b/src/coordination/worker_heartbeats/mod.rs
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Returns `true` if the call writes the record of the given machine.
+    /// Returns `true` if the call writes the first record of the given machine.
     pub(super) fn registers(&self, machine: &MachineId) -> bool {
         matches!(self, MachineOperation::Register { heartbeat, .. } if heartbeat.machine == *machine)
     }
--- a/src/coordination/worker_heartbeats/registration.rs
+++ b/src/coordination/worker_heartbeats/registration.rs
@@ -141,7 +141,9 @@
         };
         self.directory.set_machine_shard_if_unknown(heartbeat.machine.clone(), shard_id);
         match self.shards.get(&shard_id) {
-            // The record names this shard, but the machine is not among those that were loaded: it was transferred.
+            // Either the machine has no record yet, or its record names this shard but was not loaded with the shard,
+            // because the machine was transferred later. In the latter case the write of a first record conflicts, and
+            // the existing record is read.
             Some(shard) if shard.is_active() && !shard.machines.contains_key(&heartbeat.machine) => {
                 self.register_machine(requester, shard_id, heartbeat);
             }
@@ -203,7 +205,7 @@
         self.call_state(request, MachineOperation::Register { leadership, requester, heartbeat });
     }
 
-    /// Returns `true` if a write of the machine's record is in flight.
+    /// Returns `true` if the write of the machine's first record is in flight.
     fn is_being_registered(&self, machine: &MachineId) -> bool {
         self.calls.state_operations().any(|operation| operation.registers(machine))
     }
