--- a/src/coordination/boot_statistics.rs
+++ b/src/coordination/boot_statistics.rs
@@ -16,7 +16,7 @@
 const MIN_BOOTS: usize = 3;
 /// Fraction of boots in time below which machines of the type are avoided in the zone.
 const MIN_RELIABLE_FRACTION: f64 = 0.5;
-/// Fraction of boots in time below which the zone's machines count as booting late or never.
+/// Fraction of boots in time below which machines of the type count as booting late or never in the zone.
 const MIN_FRACTION_IN_TIME: f64 = 0.15;
 
 /// Multiple of the catalog's boot time after which, with [`OVERDUE_MARGIN`] added, a machine is overdue.
--- a/src/coordination/cloud.rs
+++ b/src/coordination/cloud.rs
@@ -18,8 +18,8 @@
 const CATALOG_INTERVAL: Span = Span::millis(60_000);
 /// Interval at which the catalog is requested until it has been read once.
 const FIRST_CATALOG_INTERVAL: Span = Span::millis(400);
-/// Time for which a class of machines is not requested again after the cloud had none; doubled with each further
-/// refusal.
+/// Time for which a class of machines is not requested again after the cloud had fewer than requested; doubled with
+/// each further refusal.
 const REFUSAL_BACKOFF: Span = Span::millis(6_000);
 /// Maximum number of times that [`REFUSAL_BACKOFF`] is doubled.
 const MAX_REFUSAL_DOUBLINGS: u32 = 3;
@@ -176,7 +176,7 @@
         self.refusals.get(class).is_some_and(|refusal| now < refusal.until)
     }
 
-    /// Records that the cloud did not have the machines that were requested.
+    /// Records that the cloud did not have all machines of the class that were requested.
     pub fn record_refusal(&mut self, class: MachineClass, now: Time) {
         let earlier = self.refusals.get(&class).map_or(0, |refusal| refusal.count);
         let backoff = REFUSAL_BACKOFF.times(f64::from(1u32 << earlier.min(MAX_REFUSAL_DOUBLINGS)));
@@ -218,7 +218,7 @@
 }
 
 impl Controller {
-    /// Keeps the catalog fresh and, if this node leads any shard, the machine list.
+    /// Keeps the catalog fresh and, if this node holds a node lease and leads any shard, the machine list.
     pub(super) fn refresh_cloud_state(&mut self) {
         let now = self.now;
         if self.cloud.catalog_is_due(now) && self.cloud.take_call(now) {
--- a/src/coordination/controller.rs
+++ b/src/coordination/controller.rs
@@ -91,7 +91,7 @@
     pub(super) relays: Relays,
     /// Idle machines that other controllers offer for transfer.
     pub(super) offers: PeerOffers,
-    /// Knowledge of the cloud: its catalog, its list of machines, and its refusals.
+    /// Cached state of the cloud: its catalog, its list of machines, its refusals, and statistics of boots.
     pub(super) cloud: Cloud,
     /// Learned run times and promised finish times. `None` if forecasts are disabled.
     pub(super) forecasts: Option<Forecasts>,
--- a/src/coordination/events.rs
+++ b/src/coordination/events.rs
@@ -106,7 +106,7 @@
         call: OutboundCallId,
         /// Address at which the worker receives direct calls.
         addr: SocketAddrV4,
-        /// Commands, with the fencing token that the worker checks.
+        /// Commands, with the fencing token and the agent epoch that the worker checks.
         request: WorkerCall,
     },
     /// Probes another controller: checks that it answers at its address for users and workers. The outcome comes back
--- a/src/coordination/outbound_calls.rs
+++ b/src/coordination/outbound_calls.rs
@@ -43,8 +43,8 @@
     invariant_violations: u64,
     /// Calls to the state service that were not sent, because they had not been admitted.
     not_admitted: Vec<PendingStateCall>,
-    /// Writes per second that the state service accepts from all controllers: the present limit until the service
-    /// refuses a request, then the stricter limit that was announced.
+    /// Writes per second that the state service accepts from all controllers together: the current limit until the
+    /// service refuses a request over its rate limit, then the announced limit if that is lower.
     writes_per_second: f64,
     /// Records written since the last log line about them.
     write_usage: WriteUsage,
--- a/src/coordination/pending_calls.rs
+++ b/src/coordination/pending_calls.rs
@@ -10,7 +10,7 @@
     Catalog,
     /// Reads the next page of the list of machines. `listed` contains the machines of the earlier pages.
     List { listed: Vec<ListedMachine> },
-    /// Rents machines for a shard. `request` is the name of the rental request.
+    /// Rents machines for a shard. `request` is the name of the rental request, its idempotency key.
     Rent { leadership: LeadershipTerm, request: String },
     /// Deletes machines of a shard.
     Delete { leadership: LeadershipTerm, machines: Vec<MachineId> },
--- a/src/coordination/rentals.rs
+++ b/src/coordination/rentals.rs
@@ -23,8 +23,8 @@
         }
         rental.count = rental.count.min(MAX_MACHINES_PER_RENTAL);
         self.counter += 1;
-        // The name is unique for ever: no other leadership term has this revision, and no other request of this node
-        // has this counter value.
+        // The name is the idempotency key of the request and unique for ever: no other leadership term has this
+        // revision, and no other request of this process has this counter value.
         let request = format!("r-{}-{}", shard.term, self.counter);
         shard.fleet.rentals.insert(request, rental);
     }
--- a/src/coordination/state_admission.rs
+++ b/src/coordination/state_admission.rs
@@ -4,7 +4,8 @@
 //! share of the service's rate limits. For each bounded class there is a minimum fill level of the buckets at which its
 //! calls are admitted, so that urgent classes take precedence, and a guaranteed fraction of the rate, which the class
 //! gets whatever the demand of the other classes. Leases, leadership and recovery are not bounded here, because each of
-//! them has only one call in flight at a time.
+//! them has only one call in flight at a time. Records of waiting jobs and transfers of machines are not bounded
+//! either.
 
 use crate::storage::rate_limiter::RateLimiter;
 use crate::time::Time;
--- a/src/coordination/state_operation.rs
+++ b/src/coordination/state_operation.rs
@@ -48,7 +48,8 @@
     }
 
     /// Returns the leadership term that was a condition of the transaction, or `None` if there was no such condition. A
-    /// commit shows that this term was still in force.
+    /// commit shows that this term was still in force. For a read of a job's record, which is no transaction, the term
+    /// is that of the read.
     pub fn leadership_condition(&self) -> Option<LeadershipTerm> {
         match self {
             StateOperation::Leadership(operation) => operation.leadership_condition(),
