--- a/crates/reconciliation/src/lib.rs
+++ b/crates/reconciliation/src/lib.rs
@@ -162,7 +162,7 @@
 
     /// Returns an upper bound of the resources that a team may be using on the unreconciled machines and on further
     /// machines whose total capacity is `others`. `capacity` returns the capacity of a machine type. If `quota` is
-    /// `None`, the total capacity is the only bound.
+    /// `None` or the recovery is not piecewise, the total capacity is the only bound.
     pub fn max_unreconciled_usage(
         &self,
         team: &Name,
--- a/crates/reconciliation/src/sweep.rs
+++ b/crates/reconciliation/src/sweep.rs
@@ -130,7 +130,8 @@
         }
     }
 
-    /// Removes a machine that is reconciled, by the answer to a query or in another way, for example by a heartbeat.
+    /// Removes a machine that is reconciled, by the answer to a query or in another way, for example by a heartbeat. If
+    /// a query to the machine is in flight, it counts as answered now.
     pub(crate) fn record_reconciled(&mut self, id: &MachineId, now: Time) {
         let Some(QueryTarget { state: QueryState::InFlight(since), .. }) = self.remove(id) else { return };
         let answer_time = now.since(since);
