--- a/src/coordination/dependencies/final_record.rs
+++ b/src/coordination/dependencies/final_record.rs
@@ -24,8 +24,8 @@
     }
 }
 
-/// Returns the final record of a job that was cancelled while it waited for prerequisites, either by its user or
-/// because its prerequisite `cause` was cancelled.
+/// Returns the final record of a job that was cancelled while it waited for prerequisites: because its direct or
+/// indirect prerequisite `cause` was cancelled, or by its user if `cause` is `None`.
 pub(super) fn cancelled_before_start(cause: Option<JobId>) -> FinalRecord {
     FinalRecord { state: FinalState::Cancelled, done: 0, cause }
 }
--- a/src/coordination/dependencies/traversal.rs
+++ b/src/coordination/dependencies/traversal.rs
@@ -39,8 +39,9 @@
 }
 
 impl Controller {
-    /// Answers a poll of a job from records that are all read after the poll arrived. `record` is the live record of
-    /// the job.
+    /// Answers a poll of a job from its live record `record`, from the records of its direct and indirect
+    /// prerequisites, and from the ends that this node knows. All records are read after the poll arrived. If the
+    /// prerequisites are in part records, replies "busy", since only the leader can answer.
     pub(in crate::coordination) fn traverse_dependencies(&mut self, requester: Requester, record: &LiveRecord) {
         if record.parts > 0 {
             return self.reply(requester, Reply::busy(BusyReason::LeaderMustAnswer));
@@ -65,7 +66,8 @@
         self.finish_traversal(traversal);
     }
 
-    /// Answers the poll after no cancelled job was found: the polled job waits.
+    /// Answers the poll after no cancelled job was found: the polled job waits, or is queued if its record names no
+    /// prerequisites.
     fn finish_traversal(&mut self, traversal: DependencyTraversal) {
         let not_ended = traversal.prerequisites.iter().filter(|job| !self.directory.has_ended(job));
         let reply = if traversal.prerequisites.is_empty() {
--- a/src/coordination/dependencies/waiting_records.rs
+++ b/src/coordination/dependencies/waiting_records.rs
@@ -63,7 +63,9 @@
         }
     }
 
-    /// Writes the final record of a job that is cancelled, or withdrawn because its prerequisite `cause` was cancelled.
+    /// Writes the final record of a job that is cancelled by its user, or withdrawn because its direct or indirect
+    /// prerequisite `cause` was cancelled. Writes nothing while a leadership overlap does not yet allow cancellations
+    /// to be recorded.
     fn write_cancellation(&mut self, shard_id: ShardId, id: &JobId, cause: Option<JobId>) {
         let now = self.now;
         let Some(shard) = self.shards.get(&shard_id) else { return };
--- a/src/coordination/user_requests/feasibility.rs
+++ b/src/coordination/user_requests/feasibility.rs
@@ -8,7 +8,8 @@
 pub(super) enum Infeasible {
     /// The job's team is not configured.
     UnknownTeam,
-    /// No machine type that the job allows has room for one of its tasks.
+    /// No machine type that the job allows and that is offered in the job's zone, if it names one, has room for one of
+    /// its tasks.
     NoMachineType,
     /// The tasks that have to run at the same time need more than the team's quota.
     OverQuota,
@@ -42,7 +43,8 @@
     }
 }
 
-/// Returns `true` if the job allows the machine type and one of its tasks fits on a machine of that type.
+/// Returns `true` if the job allows the machine type, one of its tasks fits on a machine of that type, and the type is
+/// offered in the job's zone if the job names one.
 fn fits_type(spec: &JobSpec, machine_type: &MachineType) -> bool {
     spec.allows_type(&machine_type.name)
         && spec.needs.fits_in(&machine_type.capacity)
--- a/src/coordination/user_requests/handoff.rs
+++ b/src/coordination/user_requests/handoff.rs
@@ -13,7 +13,9 @@
 use crate::time::Time;
 
 impl Controller {
-    /// Begins to adopt the job of a hand-off record if this node leads its shard. Keys of other records are ignored.
+    /// Begins to adopt the job of a hand-off record if this node leads its shard, or to remove the record if the job is
+    /// in memory or known to have ended. Does nothing if the leadership is not in force or the rate limits admit no
+    /// call: the record is processed when it is next seen. Keys of other records are ignored.
     pub(in crate::coordination) fn handoff_seen(&mut self, key: &str, version: Revision) {
         let Some((shard_id, job)) = keys::parse_handoff(key) else { return };
         let Some(shard) = self.shards.get(&shard_id).filter(|shard| shard.is_active()) else { return };
--- a/src/coordination/user_requests/lookup.rs
+++ b/src/coordination/user_requests/lookup.rs
@@ -70,7 +70,7 @@
         let (id, shard_id) = (found.record.job.id.clone(), found.record.deciding_shard());
         self.directory.set_job_shard(lookup.job.clone(), shard_id);
         if let Some(end) = self.directory.end_of(&id) {
-            // The job has ended after the record was read.
+            // The job has ended since the record was read.
             let reply = final_reply(&id, end);
             return self.reply(lookup.requester, reply);
         }
@@ -83,8 +83,8 @@
         self.answer_from_live_record(lookup, shard_id, &found.record);
     }
 
-    /// Answers a request about a job that belongs to a shard led by this node but is not in the shard's memory, because
-    /// the answer to the commit of its acceptance was lost.
+    /// Answers a request about a job that belongs to a shard led by this node but is not in the shard's memory: the
+    /// answer to the commit of its acceptance was lost, or its hand-off record was not processed yet.
     fn adopt_and_answer(&mut self, lookup: JobLookup, shard_id: ShardId, found: VersionedRecord) {
         let JobLookup { requester, purpose, sent_at, .. } = lookup;
         let id = found.record.job.id.clone();
@@ -98,7 +98,8 @@
         }
     }
 
-    /// Answers a request about a live job of a shard that this node does not lead or may not decide for.
+    /// Answers a request about a live job of a shard that this node does not lead, has not finished loading or may not
+    /// decide for.
     fn answer_from_live_record(&mut self, lookup: JobLookup, shard_id: ShardId, record: &LiveRecord) {
         let id = record.job.id.clone();
         match lookup.purpose {
--- a/src/coordination/user_requests/polling.rs
+++ b/src/coordination/user_requests/polling.rs
@@ -42,8 +42,8 @@
         self.answer_query(requester, job, JobQuery::Poll);
     }
 
-    /// Answers a request for a job's forecast, which only the leader of the job's shard has. A job that has ended is
-    /// answered with its state.
+    /// Answers a request for a job's forecast, which only the leader of the job's shard has. For a job that has ended
+    /// or waits for prerequisites, the answer is its state.
     pub(in crate::coordination) fn forecast(&mut self, requester: Requester, job: JobId) {
         if self.forecasts.is_none() {
             return self.reply(requester, Reply::error(404, "forecasts are off"));
@@ -89,7 +89,8 @@
         }
     }
 
-    /// Answers a request for a forecast as the leader of the job's shard.
+    /// Answers a request for a forecast as the leader of the job's shard. For a job that has ended or waits for
+    /// prerequisites, the answer is its state.
     pub(in crate::coordination) fn forecast_as_leader(&mut self, requester: Requester, shard_id: ShardId, job: JobId) {
         if self.forecasts.is_none() {
             return self.reply(requester, Reply::error(404, "forecasts are off here"));
--- a/src/coordination/waiting_jobs/mod.rs
+++ b/src/coordination/waiting_jobs/mod.rs
@@ -31,7 +31,8 @@
     obsolete_parts: Vec<String>,
     /// Waiting jobs whose records have to be written or read.
     due_records: BTreeSet<JobId>,
-    /// Jobs whose cancellation is being written, so that other controllers may already have read it.
+    /// Jobs with dependents in this shard whose cancellation is being written, so that other controllers may already
+    /// have read it.
     cancellations_in_doubt: HashSet<JobId>,
     /// Factor by which the deadline of a class may be exceeded while the job's result is still of use.
     late_factors: Arc<BTreeMap<Name, f64>>,
@@ -164,7 +165,7 @@
             match state {
                 FinalState::Done => log::info!("job {dependent} is ready: its last prerequisite {job} is done"),
                 FinalState::Cancelled => {
-                    log::info!("job {dependent} is withdrawn: its prerequisite {job} was cancelled");
+                    log::info!("job {dependent} is withdrawn: its direct or indirect prerequisite {job} was cancelled");
                 }
             }
         }
@@ -172,7 +173,8 @@
         self.due_records.extend(affected.into_iter().filter(|dependent| self.jobs.contains_key(dependent)));
     }
 
-    /// Marks the cancellation of a job as being written. Other controllers may read it from now on.
+    /// Marks the cancellation of a job as being written, if jobs of this shard depend on the job. Other controllers may
+    /// read the cancellation from now on.
     pub(in crate::coordination) fn mark_in_doubt(&mut self, job: &JobId) {
         if self.graph.has_dependents(job) {
             self.cancellations_in_doubt.insert(job.clone());
@@ -184,7 +186,8 @@
         self.cancellations_in_doubt.remove(job);
     }
 
-    /// Returns the cancelled prerequisite because of which a job is withdrawn, or `None` if the job is not withdrawn.
+    /// Returns the cancelled direct or indirect prerequisite because of which a job is withdrawn, or `None` if the job
+    /// is not withdrawn.
     pub(in crate::coordination) fn withdrawn_with(&self, job: &JobId) -> Option<JobId> {
         match self.graph.dependency_status(job, &self.cancellations_in_doubt) {
             DependencyStatus::Withdrawn(cause) => Some(cause),
@@ -224,8 +227,8 @@
         self.due_records.remove(job);
     }
 
-    /// Returns the jobs whose records may be written or read now, in that order. Jobs with a call in flight, and jobs
-    /// whose last call failed less than `retry_pause` ago, are left out.
+    /// Returns the jobs whose due records may be written or read now, sorted by [`WriteOrder`]. Jobs with a call in
+    /// flight, and jobs whose last call failed less than `retry_pause` ago, are left out.
     pub(in crate::coordination) fn jobs_with_due_records(&self, now: Time, retry_pause: Span) -> Vec<JobId> {
         let mut due: Vec<WriteOrder> = self
             .due_records
@@ -257,7 +260,8 @@
         Some(if awaited { WriteUrgency::Awaited } else { WriteUrgency::Deferrable })
     }
 
-    /// Returns the next step for the record of a waiting job, or `None` while a call is in flight.
+    /// Returns the next step for the record of a waiting job, or `None` if the job does not wait or a call for its
+    /// record is in flight.
     pub(in crate::coordination) fn next_step(&self, id: &JobId) -> Option<RecordStep> {
         let job = self.jobs.get(id).filter(|job| !job.is_call_in_flight())?;
         let cause = self.withdrawn_with(id);
--- a/src/coordination/waiting_jobs/record_steps.rs
+++ b/src/coordination/waiting_jobs/record_steps.rs
@@ -7,8 +7,8 @@
 pub(in crate::coordination) enum RecordStep {
     /// Reading the record, because the outcome of a write is unknown.
     Read,
-    /// Replacing the record by a final record, because the user has cancelled the job or its prerequisite `cause` was
-    /// cancelled.
+    /// Replacing the record by a final record, because the user has asked to cancel the job or its direct or indirect
+    /// prerequisite `cause` was cancelled.
     End { cause: Option<JobId> },
     /// Replacing the record by that of a runnable job, because all prerequisites are done.
     Release,
@@ -46,11 +46,11 @@
 pub(in crate::coordination) enum WaitingStatus {
     /// Some prerequisites of the job are still being read.
     Loading,
-    /// The given prerequisite was cancelled, and the job was withdrawn because of that.
+    /// The given direct or indirect prerequisite was cancelled, and the job was withdrawn because of that.
     Withdrawn(JobId),
     /// The status depends on the outcome of a write of the job's own record.
     WriteInProgress,
-    /// The status depends on the outcome of a write of a prerequisite's record.
+    /// The status depends on the outcome of a write of a direct or indirect prerequisite's record.
     PrerequisiteInDoubt,
     /// Some direct or indirect prerequisites are not in memory.
     PrerequisitesUnknown,
--- a/src/coordination/waiting_jobs/waiting_job.rs
+++ b/src/coordination/waiting_jobs/waiting_job.rs
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Marks the job as cancelled by its user.
+    /// Records that the user has asked to cancel the job.
     pub fn request_cancellation(&mut self) {
         self.cancel_requested = true;
     }
