--- a/src/coordination/forecasts.rs
+++ b/src/coordination/forecasts.rs
@@ -92,7 +92,7 @@
             store.accuracy_logged_at = now;
             let accuracy = serde_json::to_string(&store.accuracy()).unwrap_or_default();
             log::info!(
-                "forecasts of shard {id}: {} kinds of work learned, accuracy {accuracy}",
+                "forecasts of shard {id}: run times of {} groups of similar tasks learned, accuracy {accuracy}",
                 store.learner.cell_count()
             );
         }
@@ -108,8 +108,8 @@
         }
     }
 
-    /// Handles the end of a job: compares its promise with its finish time if the job is done, and discards the promise
-    /// if it is cancelled.
+    /// Handles the end of a job: compares its first promise with the finish time if the job is done, and discards its
+    /// promises if it is cancelled.
     pub(super) fn judge_promise(&mut self, shard: ShardId, job: &JobId, state: FinalState) {
         let now = self.now;
         let forecasts = self.forecasts.as_mut();
@@ -121,7 +121,7 @@
         if let Some(JudgedPromise { promise, lateness }) = store.promises.judge_finished_job(job, now) {
             let promised = promise.promised_finish.since(promise.made_at).as_secs();
             let took = now.since(promise.made_at).as_secs();
-            log::debug!("job {job}: promised to finish within {promised:.1} s, took {took:.1} s");
+            log::debug!("job {job}: first promised to finish within {promised:.1} s, finished after {took:.1} s");
             if lateness > Span::ZERO {
                 log::debug!("job {job} finished {:.1} s later than promised", lateness.as_secs());
             }
@@ -134,8 +134,9 @@
         self.reply(requester, reply.unwrap_or_else(|| Reply::busy(BusyReason::ForecastPending)));
     }
 
-    /// Returns the reply with the forecast of a job, or `None` if there is no forecast yet. A missing forecast starts a
-    /// round at once, unless a round is in progress or the last one has only just begun.
+    /// Returns the reply with the forecast of a job, or `None` if there is no forecast yet or the job's state may not
+    /// be reported now. If the forecast of a job array is missing, a round starts at once, unless a round is in
+    /// progress or the last one has only just begun.
     fn forecast_reply(&mut self, shard_id: ShardId, id: &JobId) -> Option<Reply> {
         let (now, wall_clock_ms) = (self.now, self.wall_clock_ms);
         let store = self.forecasts.as_mut()?.stores.get_mut(&shard_id)?;
--- a/src/coordination/forecasts/capacity.rs
+++ b/src/coordination/forecasts/capacity.rs
@@ -134,14 +134,14 @@
 fn groups_of_machines_booting(shard: &Shard, types: &HashMap<Name, MachineType>, now: Time) -> Vec<MachineGroup> {
     let mut counts: BTreeMap<BootingMachines, u32> = BTreeMap::new();
     for machine in shard.fleet.booting.values().filter(|machine| !machine.deleting) {
-        let Some(kind) = types.get(&machine.kind) else { continue };
+        let Some(machine_type) = types.get(&machine.kind) else { continue };
         let age = now.since(machine.rented_at);
-        let time_until_up = (kind.boot - age).max(age.times(EXPECTED_DELAY_FRACTION));
+        let time_until_up = (machine_type.boot - age).max(age.times(EXPECTED_DELAY_FRACTION));
         let class = MachineClass { kind: machine.kind.clone(), zone: machine.zone.clone(), spot: machine.spot };
         *counts.entry(BootingMachines { class, seconds_until_up: whole_seconds(time_until_up) }).or_default() += 1;
     }
     for rental in shard.fleet.rentals.values() {
-        let seconds_until_up = types.get(&rental.kind).map_or(0, |kind| whole_seconds(kind.boot));
+        let seconds_until_up = types.get(&rental.kind).map_or(0, |machine_type| whole_seconds(machine_type.boot));
         let class = MachineClass { kind: rental.kind.clone(), zone: rental.zone.clone(), spot: rental.spot };
         *counts.entry(BootingMachines { class, seconds_until_up }).or_default() += rental.count;
     }
--- a/src/coordination/forecasts/snapshots.rs
+++ b/src/coordination/forecasts/snapshots.rs
@@ -1,7 +1,7 @@
 //! Snapshots of learned run times in the state service.
 //!
-//! Every shard has a snapshot. A leader reads the snapshots of all shards once after it has acquired leadership, and
-//! writes the snapshot of its own shard periodically.
+//! Every shard has a snapshot. A leader reads the snapshots of all shards after it has acquired leadership, and again
+//! after a write without an answer. It writes the snapshot of its own shard periodically.
 
 use super::super::controller::Controller;
 use super::store::ForecastStore;
@@ -77,7 +77,8 @@
         is_wanted && !self.call_in_flight && now >= self.next_call_at
     }
 
-    /// Records that a write of the snapshot was sent. The next one is sent after `interval` at the earliest.
+    /// Records that a write of the snapshot was sent. Unless it fails, the next one is sent after `interval` at the
+    /// earliest.
     fn save_sent(&mut self, interval: Span, now: Time) {
         self.call_in_flight = true;
         self.attempts_saved = self.attempts_learned;
@@ -135,7 +136,7 @@
                     forget.iter().for_each(|class| self.learner.remove_class(class));
                 }
             }
-            // An unreadable snapshot costs accuracy only, and the next snapshot replaces it.
+            // An unreadable snapshot costs accuracy only, and the next snapshot of its shard replaces it.
             Err(error) if !self.snapshot.unreadable_warned => {
                 self.snapshot.unreadable_warned = true;
                 log::warn!("forecast snapshot {} can't be read and is ignored: {error}", entry.key);
@@ -190,7 +191,7 @@
         let Some(store) = forecasts.store_in_term(leadership) else { return };
         let max_bytes = self.settings.max_value_bytes.saturating_sub(RECORD_OVERHEAD);
         let Some(text) = snapshot::write(&store.learner, now, max_bytes) else {
-            // Even the coarsest snapshot exceeds the limit, so none can be saved with these settings.
+            // Even a snapshot of a single cell exceeds the limit, so none can be saved with these settings.
             store.snapshot.next_call_at = now + MAX_RETRY_BACKOFF;
             return;
         };
