--- a/crates/crowctl/src/client.rs
+++ b/crates/crowctl/src/client.rs
@@ -41,7 +41,7 @@
         /// Error of the HTTP client.
         source: Box<ureq::Error>,
     },
-    /// The controller answered with a status that asks for a retry, such as 503.
+    /// The controller answered with a status that is not final, such as 503.
     #[error("{server}: {reason} ({status})")]
     Unavailable {
         /// Address of the controller, `HOST:PORT`.
@@ -94,7 +94,8 @@
         self.request(path, Some(body))
     }
 
-    /// Sends a request to the controllers in turn until one gives a final answer or [`RETRY_TIMEOUT`] is over.
+    /// Sends a request to the controllers in turn until one gives a final answer, or the next attempt would begin after
+    /// [`RETRY_TIMEOUT`].
     fn request(&self, path: &str, body: Option<&str>) -> Result<Answer, Error> {
         let started_at = Instant::now();
         let spinner = ProgressBar::new_spinner();
--- a/crates/dependencies/src/graph.rs
+++ b/crates/dependencies/src/graph.rs
@@ -12,7 +12,7 @@
 /// Status of a job in the graph.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum JobStatus {
-    /// A job known only as a prerequisite: it belongs to another shard or ended long ago.
+    /// A job known only as a prerequisite: it belongs to another shard, ended long ago or was not added yet.
     Unknown,
     /// An accepted job that does not wait for any prerequisite.
     Runnable,
@@ -51,9 +51,10 @@
     Waiting,
     /// The given direct or indirect prerequisite was cancelled.
     Withdrawn(JobId),
-    /// Some direct or indirect prerequisite has an unknown status, so a cancellation may have been missed.
+    /// The job is not in the graph, or some direct or indirect prerequisite has an unknown status, so a cancellation
+    /// may have been missed.
     Unknown,
-    /// The cancellation of some direct or indirect prerequisite is in doubt.
+    /// The cancellation of the job itself or of some direct or indirect prerequisite is in doubt.
     InDoubt,
 }
 
--- a/crates/forecast/src/expectation.rs
+++ b/crates/forecast/src/expectation.rs
@@ -47,8 +47,8 @@
     location_variance: f64,
 }
 
-/// Estimates of all levels and the cells that they are based on, from coarse to fine. The cell is
-/// `None` for a level without observations.
+/// Estimates of all levels and the cells that they are based on, from coarse to fine. The cell is `None` for a level
+/// without observations.
 struct LevelEstimates<'a> {
     estimates: [LevelEstimate; LEVELS],
     cells: [Option<&'a Cell>; LEVELS],
--- a/crates/forecast/src/features.rs
+++ b/crates/forecast/src/features.rs
@@ -77,7 +77,7 @@
 /// The names of the variants are part of the snapshot format. Their order determines that of the cells in a learner.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, serde::Serialize, serde::Deserialize)]
 pub(crate) enum CellKey {
-    /// Cell of all tasks.
+    /// All tasks.
     All,
     /// Tasks of the same class.
     Class(Name),
--- a/crates/forecast/src/finish.rs
+++ b/crates/forecast/src/finish.rs
@@ -32,7 +32,8 @@
     pub cpus: f64,
     /// CPUs of booting machines, ordered by [`BootingCapacity::ready_in`].
     pub booting: Vec<BootingCapacity>,
-    /// Maximum number of CPUs that the job may use at once: the quota of its team, or the CPUs of all its tasks.
+    /// Maximum number of CPUs that the job may use at once: the quota of its team or the CPUs of all its tasks,
+    /// whichever is smaller.
     pub max_cpus: f64,
 }
 
@@ -121,8 +122,8 @@
     tasks.clamp(1.0, MAX_PARALLEL_TASKS) as u32
 }
 
-/// Returns the time, in seconds from now, at which work of `work_cpu_s` CPU seconds is done if it starts at `start_s` and
-/// uses at most `max_cpus` at once; `None` if there are no CPUs for it.
+/// Returns the time, in seconds from now, at which work of `work_cpu_s` CPU seconds is done if it starts at `start_s`
+/// and uses at most `max_cpus` at once; `None` if there are no CPUs for it.
 fn work_done_at_s(capacity: &AvailableCapacity, work_cpu_s: f64, max_cpus: f64, start_s: f64) -> Option<f64> {
     let (mut cpus, mut now_s, mut remaining_cpu_s) = (capacity.cpus, 0.0, work_cpu_s);
     let boots = capacity.booting.iter().map(|booting| (booting.ready_in.as_secs(), booting.cpus));
--- a/crates/forecast/src/learner.rs
+++ b/crates/forecast/src/learner.rs
@@ -25,7 +25,7 @@
 const MAX_VARIANCE_OF_MEAN: f64 = 1.0;
 /// Reciprocal of the fraction of cells that an eviction removes at once. Evicting single cells would sort all cells
 /// again for each new one.
-const EVICTED_FRACTION: usize = 8;
+const EVICTION_DIVISOR: usize = 8;
 
 /// End of an observed attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -50,7 +50,7 @@
 pub struct JobObservations {
     /// First observed task; `None` before any task has been observed.
     pub(crate) first: Option<FirstTask>,
-    /// Number of observed tasks.
+    /// Number of observed attempts. A task is counted again if its earlier attempt was censored.
     pub(crate) tasks_seen: u32,
     /// Mean difference between the logarithm of the run time and the location without the effect of the job.
     pub(crate) residuals: DecayingMean,
@@ -231,7 +231,7 @@
         self.cells.len()
     }
 
-    /// Evicts the least useful cells until the memory limit is met.
+    /// Evicts the least useful cells until the memory limit is met or only one cell is left.
     fn evict(&mut self, now: Time) {
         while self.memory_bytes() > self.limits.max_memory_bytes && self.cells.len() > 1 {
             let mut candidates: Vec<(f64, CellKey)> = self
@@ -241,7 +241,7 @@
                 .map(|(key, cell)| (cell.usefulness(now, self.limits.half_life), key.clone()))
                 .collect();
             candidates.sort_by(|a, b| a.0.total_cmp(&b.0).then_with(|| b.1.cmp(&a.1)));
-            for (_, key) in candidates.into_iter().take(self.cells.len().div_ceil(EVICTED_FRACTION)) {
+            for (_, key) in candidates.into_iter().take(self.cells.len().div_ceil(EVICTION_DIVISOR)) {
                 self.cells.remove(&key);
             }
             self.recompute_cell_bytes();
--- a/crates/forecast/src/replay.rs
+++ b/crates/forecast/src/replay.rs
@@ -1,5 +1,5 @@
-//! Replay of a recorded history: for each line, a forecast is made from the earlier lines only; then the line is
-//! learned.
+//! Replay of a recorded history: for each completed attempt, a forecast is made from the earlier lines only. Then the
+//! attempt is learned, as are the censored ones.
 
 use crate::calibration::{MANY_OBSERVATIONS, Tally, is_within_quarter};
 use crate::features::TaskFeatures;
@@ -223,7 +223,7 @@
         Replay { learner: Learner::new(REPLAY_ORIGIN, limits), summary: Summary::default(), jobs: HashMap::new() }
     }
 
-    /// Processes a line: makes a forecast, compares it with the run time if the attempt completed, and learns the
+    /// Processes a line: if the attempt completed, makes a forecast and compares it with the run time; then learns the
     /// attempt.
     pub fn process(&mut self, line: &HistoryLine) {
         self.limit_jobs(line.at_s);
--- a/crates/forecast/src/run_time.rs
+++ b/crates/forecast/src/run_time.rs
@@ -32,9 +32,9 @@
     pub observations: u64,
     /// Similarity of these attempts.
     pub level: Level,
-    /// Standard deviation of the effect that all tasks of a job share, of the logarithm of the run time.
+    /// Standard deviation of the effect that all tasks of a job share on the logarithm of the run time.
     pub shared_deviation: f64,
-    /// Standard deviation between the tasks of a job, of the logarithm of the run time.
+    /// Standard deviation of the logarithm of the run time between the tasks of a job.
     pub task_deviation: f64,
 }
 
--- a/crates/forecast/src/snapshot.rs
+++ b/crates/forecast/src/snapshot.rs
@@ -299,7 +299,7 @@
 
 /// Writes a snapshot of at most `max_bytes`. If not all cells fit, the least useful fine ones are left out first.
 ///
-/// Returns `None` if not even the coarsest cell fits.
+/// Returns `None` if not even a snapshot of a single cell fits.
 pub fn write(learner: &Learner, now: Time, max_bytes: usize) -> Option<String> {
     let cells = cells_by_usefulness(learner, now);
     // Packing is expensive, so the largest number of cells that fits is found by bisection.
--- a/crates/forecast/src/survival.rs
+++ b/crates/forecast/src/survival.rs
@@ -13,8 +13,8 @@
 const MIN_STEP_WIDTH: f64 = 1e-12;
 /// Minimum probability of a tail for its mean to be computed.
 const MIN_TAIL_PROBABILITY: f64 = 1e-9;
-/// Assumed mean distance of the values beyond the last step from the last completed value or the given
-/// one, whichever is larger, in standard deviations.
+/// Assumed mean distance of the values beyond the last step from the last completed value or the given one, whichever
+/// is larger, in standard deviations.
 const MEAN_EXCESS_BEYOND_LAST: f64 = 0.5;
 /// Assumed mean distance of the values beyond a given one if none was observed there, in standard deviations.
 const DEFAULT_MEAN_EXCESS: f64 = 0.25;
