--- a/src/protocol/busy_reason.rs
+++ b/src/protocol/busy_reason.rs
@@ -37,18 +37,19 @@
     LeaderMustAnswer,
     /// The machine types have not been read from the cloud yet.
     NoCatalog,
-    /// The last confirmation of the leadership term is too old for serving reads from memory.
+    /// For a read from memory, the last confirmation of the leadership term is too old. For a submission that this node
+    /// accepts instead of the leader, the term is unknown or this node has no node lease.
     NotConfirmed,
     /// The leader lease is not valid, so this node may not decide for the shard.
     LeaseInvalid,
     /// The job's team is not configured, so that no shard can be chosen.
     NoShard,
-    /// The node that received the request does not lead the shard.
+    /// The node that received the request does not lead the shard, or has not loaded it yet.
     NotLeader,
     /// The node is not ready to serve users.
     NotReady,
-    /// The machine already has a record, written by another shard or by a write without an answer; the record is being
-    /// read.
+    /// The machine already has a record: another shard has written it, the answer to an earlier write was lost, or the
+    /// machine was transferred. The record is being read.
     RecordedBefore,
     /// The state service refused the call or did not answer.
     StateUnreachable,
@@ -68,7 +69,8 @@
     RegistrationDelayed,
     /// The records of the job's prerequisites are being read.
     LoadingPrerequisites,
-    /// More records of prerequisites would have to be read than one request may read, or than the rate limit admits.
+    /// More records of prerequisites would have to be read than one request may read or the rate limit admits, or a
+    /// prerequisite has part records.
     TooManyPrerequisites,
 }
 
--- a/src/protocol/peers.rs
+++ b/src/protocol/peers.rs
@@ -49,7 +49,7 @@
         /// Incarnation of the sender; 0 from a version that does not send it.
         #[serde(rename = "life", default)]
         incarnation: u64,
-        /// Newest leadership term of each shard that the sender knows.
+        /// Newest leadership term that the sender knows of each shard.
         #[serde(rename = "known", default)]
         known_terms: Vec<(ShardId, Revision)>,
         /// Time for which the state service has not answered the sender.
--- a/src/service.rs
+++ b/src/service.rs
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Expires connections and calls, sends a tick to the controller and redials silent peers.
+    /// Expires connections and calls, passes a tick to the controller and redials silent peers.
     fn tick(&mut self, transport: &mut Transport) {
         transport.expire();
         self.handle_network_events(transport);
@@ -176,7 +176,7 @@
     }
 
     /// Converts a network event to an event of the controller. Returns `None` for an answer to an unknown call and for
-    /// an invalid frame.
+    /// a frame that is malformed or has a message unknown to this version.
     fn controller_event(&mut self, network_event: NetEvent, transport: &mut Transport) -> Option<Event> {
         match network_event {
             NetEvent::Request { id, request } => Some(client_request_event(id, &request)),
@@ -190,7 +190,7 @@
 
     fn peer_event(&mut self, frame: &[u8], now: Time) -> Option<Event> {
         let Some(envelope) = peers::decode(frame) else {
-            log::debug!("discarded a frame of {} bytes that is not a valid peer message", frame.len());
+            log::debug!("discarded a frame of {} bytes without a peer message known to this version", frame.len());
             return None;
         };
         if let Some(peer) = self.peers.get_mut(&envelope.from) {
@@ -238,8 +238,8 @@
         transport.send_frame(peer.addr, &peers::encode(&envelope));
     }
 
-    /// Redials the peers from which no message has arrived for [`PEER_SILENCE_TIMEOUT`], since their connection may be
-    /// broken.
+    /// Closes the connections to peers from which no message has arrived for [`PEER_SILENCE_TIMEOUT`], since they may
+    /// be broken. The next message to such a peer dials it again.
     fn redial_silent_peers(&mut self, transport: &mut Transport) {
         let now = transport.clock();
         for peer in self.peers.values() {
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -130,7 +130,7 @@
     pub zone: Name,
     /// `true` for a spot machine.
     pub spot: bool,
-    /// Address and port at which the worker accepts direct commands.
+    /// Address and port at which the worker accepts direct calls.
     pub addr: String,
 }
 
