--- a/tests/simulation/checker.rs
+++ b/tests/simulation/checker.rs
@@ -31,9 +31,10 @@
     Quota,
     /// Once the faults are over, no task starves although a machine has room for it.
     Starvation,
-    /// No task is started and no state is reported of a job that was not submitted.
+    /// No task is started and no state is reported for a job that was not submitted.
     UnknownJob,
-    /// No controller reports an older state of a job than one that its user has already been told.
+    /// No controller reports an older state of a job than one that its user has already been told, or a cancellation
+    /// that was not requested.
     StaleAnswer,
     /// Every controller knows an accepted job, and its user gets answers once the faults are over.
     LostJob,
--- a/tests/simulation/cloud.rs
+++ b/tests/simulation/cloud.rs
@@ -30,7 +30,7 @@
 /// State of the cloud, with its injected faults and its counters.
 #[derive(Default)]
 pub struct Cloud {
-    /// Machines rented by each request, by the request's identifier. Rent requests are idempotent.
+    /// Machines rented by each request, by the idempotency key of the request.
     completed_requests: HashMap<String, Vec<u32>>,
     next_machine: u32,
     machines: BTreeMap<u32, RentedMachine>,
--- a/tests/simulation/controllers.rs
+++ b/tests/simulation/controllers.rs
@@ -12,8 +12,8 @@
 /// Probability that a call takes up to 30 s to arrive at the cloud.
 const SLOW_CLOUD_CALL_PROBABILITY: f64 = 0.02;
 
-/// Duration for which one controller's clock stands still under [`DisabledSafeguard::RunningClocks`], before the next
-/// one's does.
+/// Duration for which the clock of each controller in turn stands still under [`DisabledSafeguard::RunningClocks`].
+/// Before the first one's turn, all clocks run for the same duration.
 const CLOCK_STOP: u64 = 20 * SEC;
 
 /// Kind of endpoint that a controller calls.
--- a/tests/simulation/malformed_requests.rs
+++ b/tests/simulation/malformed_requests.rs
@@ -1,5 +1,5 @@
-//! Submissions that have to be rejected: a required field is missing or has the wrong type, no machine fits the tasks,
-//! or the team's quota is too small.
+//! Submissions that have to be rejected: a required field is missing or has the wrong type, the team is unknown, no
+//! machine fits the tasks, or the team's quota is too small.
 
 use super::*;
 use crowstall::protocol::users;
@@ -71,7 +71,7 @@
     (body, Rejection::Malformed)
 }
 
-/// Changes a valid submission so that no machine fits its tasks or the team's quota is too small.
+/// Changes a valid submission so that its team is unknown, no machine fits its tasks, or the team's quota is too small.
 fn make_unsatisfiable(fields: &mut serde_json::Map<String, Value>, number: u32) {
     let changes = [
         ("flock", json!("nobody")),
@@ -85,7 +85,7 @@
     let (field, value) = changes[number as usize % 8 % 7].clone();
     fields[field] = value;
     if number % 8 == 7 {
-        // The replicas of a service need its whole size at once, here 18 CPUs with a quota of 16.
+        // All replicas of a service run at the same time. Here they need 18 CPUs, and the quota is 16.
         let service = json!({"flock": "limited", "gait": "daemon", "clutch": 9, "cores": 2.0});
         fields.extend(service.as_object().cloned().unwrap_or_default());
     }
--- a/tests/simulation/workers.rs
+++ b/tests/simulation/workers.rs
@@ -84,7 +84,9 @@
     pub(super) sequence_number: u64,
     /// Highest fencing token seen.
     pub(super) token: u64,
-    /// Start of the current worker lease: the time at which the last answered heartbeat was sent.
+    /// Start of the current worker lease: the time at which the last heartbeat that renewed it was sent, or else the
+    /// time at which the machine came up or its previous lease expired. `None` until the first check after a start of
+    /// the agent.
     pub(super) lease_started_at: Option<u64>,
     /// Attempts on the machine, by task and attempt number.
     pub tasks: BTreeMap<(TaskId, u64), RunningTask>,
@@ -129,8 +131,8 @@
 
     /// Returns the resources of the machine's type.
     pub(super) fn capacity(&self) -> Resources {
-        let kind = cloud::machine_types().into_iter().find(|kind| kind.name == self.kind);
-        kind.map(|kind| kind.capacity).unwrap_or_default()
+        let own_type = cloud::machine_types().into_iter().find(|machine_type| machine_type.name == self.kind);
+        own_type.map(|machine_type| machine_type.capacity).unwrap_or_default()
     }
 
     /// Returns `true` if the machine can be expected to keep and complete tasks.
@@ -190,8 +192,9 @@
         due.map(|(key, _)| key.clone()).collect()
     }
 
-    /// Returns `true` if a heartbeat has to be sent now: at the regular time, or within 500 ms of a change. Drops a
-    /// heartbeat that has timed out and switches to the next controller.
+    /// Returns `true` if a heartbeat has to be sent now: at the regular time, or after a change as soon as the last
+    /// heartbeat is 500 ms old. After a time-out or a restart of the agent, which postpone the regular heartbeat, a change
+    /// does not send one earlier. Drops a heartbeat that has timed out and switches to the next controller.
     fn heartbeat_is_due(&mut self, now: u64) -> bool {
         if let Some(heartbeat) = self.heartbeat_in_flight {
             if now - heartbeat.sent_at <= HEARTBEAT_TIMEOUT {
