--- a/tests/failover.rs
+++ b/tests/failover.rs
@@ -230,7 +230,7 @@
     IsolatedWithMachines(u64),
     CutOffFromStateService,
     RefusedByStateService,
-    /// The leader reaches only its workers and users.
+    /// The leader reaches only its workers, the users and the cloud.
     CutOffFromControllersAndStateService,
     /// The leader's leadership checks are answered late.
     DelayedLeadershipChecks,
--- a/tests/fault_combinations/machine_failures.rs
+++ b/tests/fault_combinations/machine_failures.rs
@@ -81,7 +81,7 @@
     }
 }
 
-/// Prevents machines from sending heartbeats, and injects a failover or an outage of the state service.
+/// Prevents machines from sending heartbeats, cancels jobs, and injects a failover or an outage of the state service.
 pub fn blocked_heartbeats(simulation: &mut Simulation) {
     let until = simulation.now + simulation.rng.random_range(4 * SEC..45 * SEC);
     let machines = simulation.some_machines(3);
--- a/tests/fault_combinations/user_requests.rs
+++ b/tests/fault_combinations/user_requests.rs
@@ -1,4 +1,5 @@
-//! Fault combinations with requests at the completion of jobs and with invalid submissions, and jobs for other ones.
+//! Fault combination with requests at the completion of jobs and invalid submissions. Other fault combinations use
+//! [`add_jobs`] to add jobs to a running simulation.
 
 use crate::simulation::users::spec;
 use crate::simulation::{FOREVER, MS, SEC, Simulation, TemporaryFault};
--- a/tests/forecasts.rs
+++ b/tests/forecasts.rs
@@ -37,7 +37,7 @@
     serde_json::from_str(&reply.body).expect("JSON")
 }
 
-/// Returns the value of a JSON number; panics if the value is none.
+/// Returns a JSON value as a number. Panics if the value is not a number.
 fn number(value: &serde_json::Value) -> f64 {
     value.as_f64().unwrap_or_else(|| panic!("{value} is not a number"))
 }
@@ -167,9 +167,9 @@
     };
     let (usual, _) = run(false);
     let (refused, simulation) = run(true);
-    // Each controller that has led the shard retries after 10 s, 20 s, 40 s and so on.
+    // Each controller that may have led the shard retries after 10 s, 20 s, 40 s and so on.
     let tries = simulation.state_service.refused_prefix_requests;
-    assert!((1..=8).contains(&tries), "{tries} attempts to write a snapshot in 200 s");
+    assert!((1..=8).contains(&tries), "{tries} requests to list or write snapshots in 200 s");
     assert!(refused < usual + usual / 10, "jobs took {refused} us on average, without the refusals {usual} us");
     assert!(attempts_in_snapshot(&simulation) > 200, "no snapshot was stored afterwards");
 }
--- a/tests/soak/processes.rs
+++ b/tests/soak/processes.rs
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Returns the address at which a worker accepts direct commands. All workers share a port, and each has an IP
+    /// Returns the address at which a worker accepts direct calls. All workers share a port, and each has an IP
     /// address of its own.
     fn worker_address(&self, machine: u32) -> SocketAddrV4 {
         let [_, high, middle, low] = machine.to_be_bytes();
