--- a/tests/availability.rs
+++ b/tests/availability.rs
@@ -119,8 +119,8 @@
     }
 }
 
-/// Guards against a deposed leader that still reaches its workers and users, but no other endpoint. The partitions last
-/// from less than the leader's lease to far longer.
+/// Guards against violations by a leader, deposed or not, that still reaches its workers and users, but no other
+/// endpoint. The partitions last from less than the leader's lease to far longer.
 #[test]
 fn isolated_leader_with_workers_and_users_violates_no_rule() {
     for (seed, duration) in [(0, 3), (1, 8), (2, 20), (3, 40), (4, 90), (5, 150)] {
@@ -246,7 +246,7 @@
         assert_eq!(expired_leases, 0, "seed {seed}: expired worker leases");
         assert_eq!(simulation.leader(0), Some(leader), "seed {seed}: the leader was replaced");
         simulation.assert_no_violations();
-        // A job that is submitted after the partition is executed as well.
+        // A job that is submitted at the end of the partition is executed as well.
         let submit_at = simulation.now + SEC;
         simulation.add_user(spec(50, JobKind::Array, "free", 4, 1.0), SEC, submit_at, None, false);
         simulation.run_until(submit_at + 90 * SEC);
@@ -256,8 +256,8 @@
     }
 }
 
-/// Guards against a shard without progress: a leader that reaches only the state service can still renew its lease, but
-/// cannot start tasks or answer users.
+/// Guards against a shard without progress: a leader that reaches neither workers nor other controllers can still renew
+/// its lease at the state service, but cannot start tasks.
 #[test]
 fn isolated_leader_steps_down() {
     for (seed, delay_packets) in [(30, LOSE_PACKETS), (31, DELAY_PACKETS)] {
--- a/tests/failover.rs
+++ b/tests/failover.rs
@@ -547,7 +547,8 @@
     }
 }
 
-/// Isolates the leader with half of the machines and cancels every job as soon as the leader is replaced.
+/// Isolates the leader with half of the machines. The users cancel every job from 1 s later on, about the time at which
+/// the leader is replaced.
 fn cancel_after_isolation(seed: u64, disabled: DisabledSafeguard) -> Simulation {
     let mut simulation = Simulation::with_one_shard_and_properties(seed, [12, 12], "claim.life.ms = 8000");
     simulation.disabled = disabled;
--- a/tests/job_dependencies.rs
+++ b/tests/job_dependencies.rs
@@ -13,8 +13,8 @@
     CANCELLATION_BOUND, CONTROLLERS, DisabledSafeguard, Endpoint, FOREVER, LOSE_PACKETS, MS, Rule, SEC, Simulation,
 };
 
-/// Limits of the state service that take effect during a run. Those on values and transactions are the ones that the
-/// settings file announces as the next limits.
+/// Limits of the state service that are lower than those of [`RequestLimits::default`] for values and transactions. The
+/// settings file announces these two as the next limits.
 const LOWERED_LIMITS: RequestLimits =
     RequestLimits { value_bytes: 2048, changes_per_transaction: 4, writes_per_second: 60 };
 
@@ -297,7 +297,7 @@
     for (key, value) in records.iter().filter(|(key, _)| key.starts_with("live/")) {
         let record: LiveRecord = serde_json::from_value(value.clone()).unwrap_or_else(|e| panic!("{key}: {e}"));
         assert!(!record.is_waiting() && record.job.prerequisites.is_empty() && record.ready_ms.is_none());
-        assert_eq!(serde_json::to_value(&record).expect("JSON"), *value, "{key} is written as it was");
+        assert_eq!(serde_json::to_value(&record).expect("JSON"), *value, "{key}: value written");
     }
     let messages = fixture["messages"].as_object().expect("messages by kind");
     for (kind, text) in messages {
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -33,8 +33,8 @@
     MachineId::new(&format!("machine-{number:092}"))
 }
 
-/// Returns a heartbeat between controllers that names the given machines, and whose other fields are as large as they
-/// may get in practice.
+/// Returns a heartbeat between controllers that names the given machines and the terms of 1,000 shards, the maximum
+/// number of shards.
 fn heartbeat_of(rented: Vec<(MachineId, ShardId)>, spare: Vec<MachineOffer>) -> Envelope {
     let shards: Vec<(ShardId, Revision)> = (0..1000).map(|at| (ShardId(at), Revision(u64::MAX))).collect();
     let message = PeerMessage::Heartbeat {
@@ -123,12 +123,12 @@
         .and_then(|text| text.trim().parse().ok())
         .unwrap_or(usize::MAX);
     // Many systems limit a process to 1,024 open files.
-    let crowd = 900.min(system);
+    let client_count = 900.min(system);
     let (_event_loop, mut transport) = transport(2000);
     let addr = SocketAddrV4::new(Ipv4Addr::LOCALHOST, free_port());
     transport.listen_clients(addr).unwrap();
     let mut waiting = Vec::new();
-    for at in 0..crowd {
+    for at in 0..client_count {
         let connected = TcpStream::connect_timeout(&addr.into(), Duration::from_millis(500));
         waiting.push(connected.unwrap_or_else(|error| panic!("connection {at}: {error}")));
     }
--- a/tests/reconciliation.rs
+++ b/tests/reconciliation.rs
@@ -30,8 +30,8 @@
     simulation
 }
 
-/// Crashes the leader and returns the time from its restart until the shard's record names a new term, in milliseconds,
-/// or `None` if that takes longer than 10 s.
+/// Crashes the leader and returns the time from its restart until the shard's record names another process, in
+/// milliseconds, or `None` if that takes longer than 10 s.
 fn acquisition_after_restart(mut simulation: Simulation) -> Option<u64> {
     let node = simulation.current_leader();
     let before = simulation.state_service.get("shard/0").cloned();
@@ -151,7 +151,7 @@
     let (first, second) = fail_first_task(&mut simulation, &job);
     simulation.run_for(1700 * MS);
     let still_reported = simulation.workers.get(&first).is_some_and(|worker| worker.has_task_of(&job));
-    assert!(still_reported, "the first machine still reports the failure");
+    assert!(still_reported, "the first machine does not report the failure any more");
     let until = simulation.now + 8 * SEC;
     simulation.isolate(Endpoint::Machine(second), until, LOSE_PACKETS);
     simulation.cloud.deletes_refused_until = until;
--- a/tests/simulation/workers.rs
+++ b/tests/simulation/workers.rs
@@ -193,8 +193,8 @@
     }
 
     /// Returns `true` if a heartbeat has to be sent now: at the regular time, or after a change as soon as the last
-    /// heartbeat is 500 ms old. After a time-out or a restart of the agent, which postpone the regular heartbeat, a change
-    /// does not send one earlier. Drops a heartbeat that has timed out and switches to the next controller.
+    /// heartbeat is 500 ms old. After a time-out or a restart of the agent, which postpone the regular heartbeat, a
+    /// change does not cause an earlier one. Drops a heartbeat that has timed out and switches to the next controller.
     fn heartbeat_is_due(&mut self, now: u64) -> bool {
         if let Some(heartbeat) = self.heartbeat_in_flight {
             if now - heartbeat.sent_at <= HEARTBEAT_TIMEOUT {
