--- a/tests/fault_combinations/unanswered_state_calls.rs
+++ b/tests/fault_combinations/unanswered_state_calls.rs
@@ -180,9 +180,9 @@
     assert!(answers.ended_jobs >= 20, "only {} final records were written late", answers.ended_jobs);
 }
 
-/// Runs a simulation in which controllers that cannot reach each other accept jobs for the leader of the shard, and some
-/// users cancel their jobs immediately after the acceptance. Answers of the state service take up to `max_delay`, and a
-/// fifth of the answers to transactions are lost.
+/// Runs a simulation in which controllers that cannot reach each other accept jobs for the leader of the shard, and
+/// some users cancel their jobs immediately after the acceptance. Answers of the state service take up to `max_delay`,
+/// and a fifth of the answers to transactions are lost.
 fn accept_jobs_for_unreachable_leader(seed: u64, max_delay: u64) -> Simulation {
     let mut simulation = Simulation::with_one_shard(seed, [12, 12]);
     simulation.cloud.reliable = true;
